--- a/packages/cli/src/explain/explain-request.ts
+++ b/packages/cli/src/explain/explain-request.ts
@@ -1,4 +1,4 @@
-import {getEventStructure} from '@chicorysaddle/model';
+import {getEventDefinition} from '@chicorysaddle/model';
 import {type LogLine} from './log-line.js';
 
 /** A line of an explanation, with why it is there. */
@@ -13,8 +13,8 @@
 const causeAfterMs = 1500;
 
 function isRelevant(line: LogLine, vms: ReadonlySet<string>, group: unknown): boolean {
-	const event = getEventStructure(line.event);
-	if (event?.isCause !== true || (event.scope === 'vm' && !vms.has(line.vm))) {
+	const event = getEventDefinition(line.event);
+	if (event?.isPossibleCause !== true || (event.scope === 'vm' && !vms.has(line.vm))) {
 		return false;
 	}
 
--- a/packages/decisions/src/freshness/index.ts
+++ b/packages/decisions/src/freshness/index.ts
@@ -1,2 +1,2 @@
-export * from './freshness.js';
-export * from './position-log.js';
+export * from './freshness-tracker.js';
+export * from './position-history.js';
--- a/packages/decisions/src/freshness/position-log.ts
+++ b/packages/decisions/src/freshness/position-history.ts
@@ -7,14 +7,14 @@
 };
 
 /** Samples closer together than this tell readers nothing more, milliseconds. */
-const sampleSpacingMs = 20;
+const minSampleSpacingMs = 20;
 
 /** Remembers where a group's primary was, so that a read can name the oldest log that is fresh enough. */
-export class PositionLog {
+export class PositionHistory {
 	#samples: PositionSample[] = [];
 
-	/** @param keptMs - Largest staleness that any reader accepts. */
-	constructor(private readonly keptMs: number) {}
+	/** @param retentionMs - Largest staleness that any reader accepts. */
+	constructor(private readonly retentionMs: number) {}
 
 	/**
 	 * Takes in a position from an answer of the primary.
@@ -29,12 +29,12 @@
 
 		// The newest sample is always kept; those before it stand apart.
 		const beforeLast = this.#samples.at(-2);
-		if (last !== undefined && beforeLast !== undefined && last.observedAt < beforeLast.observedAt + sampleSpacingMs) {
+		if (last !== undefined && beforeLast !== undefined && last.observedAt < beforeLast.observedAt + minSampleSpacingMs) {
 			this.#samples.pop();
 		}
 
 		this.#samples.push(sample);
-		const oldest = now - this.keptMs;
+		const oldest = now - this.retentionMs;
 		while (this.#samples.length > 0 && this.#samples[0]!.observedAt < oldest) {
 			this.#samples.shift();
 		}
@@ -48,7 +48,7 @@
 		return this.#samples.find(sample => sample.observedAt >= time)?.position;
 	}
 
-	getNewest(): PositionSample | undefined {
+	getNewestSample(): PositionSample | undefined {
 		return this.#samples.at(-1);
 	}
 
--- a/packages/decisions/src/promotion/failure-detector.ts
+++ b/packages/decisions/src/promotion/failure-detector.ts
@@ -2,45 +2,45 @@
 import {getMajority} from '../leases/lease-candidate.js';
 
 /** What another VM says of a group's primary. */
-export type FailureWord = {
+export type FailureReport = {
 	readonly vm: string;
 	/** Term that the word is about. */
 	readonly term: number;
 	/** How long the sender has seen evidence of failure; zero for none. */
 	readonly failingMs: number;
 	/** Time at which the word was asked for. */
-	readonly heardAt: number;
+	readonly requestedAt: number;
 };
 
 /** Timing of failure detection. */
-export type DetectionTiming = {
+export type FailureDetectorOptions = {
 	/** Time for which a VM has to see evidence of failure. */
 	readonly suspicionMs: number;
 	/** Longest age of another VM's word. */
-	readonly wordMs: number;
+	readonly maxReportAgeMs: number;
 	/** Least time between two promotions that one VM starts in a group. */
-	readonly holdOffMs: number;
+	readonly minPromotionIntervalMs: number;
 };
 
-export const defaultDetectionTiming: DetectionTiming = {suspicionMs: 800, wordMs: 1500, holdOffMs: 2000};
+export const defaultFailureDetectorOptions: FailureDetectorOptions = {suspicionMs: 800, maxReportAgeMs: 1500, minPromotionIntervalMs: 2000};
 
 /** Judges the primary of one group, by time and by the word of a majority. */
 export class FailureDetector {
 	#failingSince: number | undefined;
-	#judgedTerm = 0;
+	#evaluatedTerm = 0;
 	#lastPromotionAt = Number.NEGATIVE_INFINITY;
-	readonly #words = new Map<string, FailureWord>();
+	readonly #reports = new Map<string, FailureReport>();
 
-	constructor(private readonly group: GroupState, private readonly timing: DetectionTiming = defaultDetectionTiming) {}
+	constructor(private readonly group: GroupState, private readonly options: FailureDetectorOptions = defaultFailureDetectorOptions) {}
 
 	/** Re-evaluates the evidence of this VM. */
 	observe(now: number): void {
-		if (this.group.term !== this.#judgedTerm) {
-			this.#judgedTerm = this.group.term;
+		if (this.group.term !== this.#evaluatedTerm) {
+			this.#evaluatedTerm = this.group.term;
 			this.#failingSince = undefined;
 		}
 
-		const since = this.#findEvidence(now);
+		const since = this.#findFailureStart(now);
 		this.#failingSince = since === undefined ? undefined : Math.min(since, this.#failingSince ?? since);
 	}
 
@@ -49,13 +49,13 @@
 		return this.#failingSince === undefined ? 0 : Math.max(1, now - this.#failingSince);
 	}
 
-	observeWord(word: FailureWord): void {
-		this.#words.set(word.vm, word);
+	observeReport(word: FailureReport): void {
+		this.#reports.set(word.vm, word);
 	}
 
 	/** Says whether this VM alone has seen enough to ask the others at once. */
-	isSuspicious(now: number): boolean {
-		return this.getFailingMs(now) >= this.timing.suspicionMs / 2;
+	isPrimarySuspected(now: number): boolean {
+		return this.getFailingMs(now) >= this.options.suspicionMs / 2;
 	}
 
 	/**
@@ -65,11 +65,11 @@
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	isPromotionDue(name: string, voters: readonly string[], now: number): boolean {
-		if (this.getFailingMs(now) < this.timing.suspicionMs || now < this.#lastPromotionAt + this.timing.holdOffMs) {
+		if (this.getFailingMs(now) < this.options.suspicionMs || now < this.#lastPromotionAt + this.options.minPromotionIntervalMs) {
 			return false;
 		}
 
-		const agreeing = voters.filter(voter => voter === name || this.#isAgreeing(this.#words.get(voter), now));
+		const agreeing = voters.filter(voter => voter === name || this.#isAgreeing(this.#reports.get(voter), now));
 		return voters.length > 0 && agreeing.length >= getMajority(voters.length);
 	}
 
@@ -77,28 +77,28 @@
 		this.#lastPromotionAt = now;
 	}
 
-	#isAgreeing(word: FailureWord | undefined, now: number): boolean {
+	#isAgreeing(word: FailureReport | undefined, now: number): boolean {
 		return word?.term === this.group.term
-			&& word.failingMs + (now - word.heardAt) >= this.timing.suspicionMs
+			&& word.failingMs + (now - word.requestedAt) >= this.options.suspicionMs
 			&& word.failingMs > 0
-			&& now - word.heardAt <= this.timing.wordMs;
+			&& now - word.requestedAt <= this.options.maxReportAgeMs;
 	}
 
 	/** Returns since when the primary is unknown or out of reach, or lost to its replicas; undefined where it is not. */
-	#findEvidence(now: number): number | undefined {
+	#findFailureStart(now: number): number | undefined {
 		const {primary} = this.group;
 		if (primary === undefined) {
 			return now;
 		}
 
-		return primary.unreachableSince ?? this.#findSilence(now);
+		return primary.unreachableSince ?? this.#findSilenceStart(now);
 	}
 
 	/** Replicas that have not heard their primary speak for themselves, where a majority of the group does so. */
-	#findSilence(now: number): number | undefined {
+	#findSilenceStart(now: number): number | undefined {
 		const replicas = this.group.replicas.filter(replica => replica.isReachable);
 		const silentMs = Math.min(...replicas.map(replica => replica.primarySilentMs));
-		const isSilent = replicas.length >= getMajority(this.group.instances.length) && silentMs >= this.timing.suspicionMs / 2;
+		const isSilent = replicas.length >= getMajority(this.group.instances.length) && silentMs >= this.options.suspicionMs / 2;
 		return isSilent ? now - silentMs : undefined;
 	}
 }
--- a/packages/decisions/src/promotion/index.ts
+++ b/packages/decisions/src/promotion/index.ts
@@ -1,3 +1,3 @@
 export * from './failure-detector.js';
 export * from './promotion-round.js';
-export * from './primary-judge.js';
+export * from './primary-liveness.js';
--- a/packages/decisions/src/promotion/primary-judge.ts
+++ b/packages/decisions/src/promotion/primary-liveness.ts
@@ -12,15 +12,15 @@
 };
 
 /** Timing of the judgement. */
-export type JudgeTiming = {
+export type PrimaryTimeouts = {
 	/** Time of refusals after which a primary counts as dead, milliseconds. */
-	readonly refusedMs: number;
+	readonly refusalTimeoutMs: number;
 	/** Time of silence after which a primary counts as dead, milliseconds. */
-	readonly silentMs: number;
+	readonly silenceTimeoutMs: number;
 };
 
 /** A refusal proves that the process is gone; silence has to outlast a slow answer. */
-export const defaultJudgeTiming: JudgeTiming = {refusedMs: 150, silentMs: 900};
+export const defaultPrimaryTimeouts: PrimaryTimeouts = {refusalTimeoutMs: 150, silenceTimeoutMs: 900};
 
 /**
  * Says whether a primary is dead by the evidence of several VMs.
@@ -29,10 +29,10 @@
  * @param evidence - Newest evidence of each VM, the judge's own included.
  * @param members - VMs that could have evidence.
  */
-export function isPrimaryDead(instanceId: string, evidence: readonly PrimaryEvidence[], members: number, now: number, timing: JudgeTiming = defaultJudgeTiming): boolean {
+export function isPrimaryDead(instanceId: string, evidence: readonly PrimaryEvidence[], members: number, now: number, timeouts: PrimaryTimeouts = defaultPrimaryTimeouts): boolean {
 	const relevant = evidence.filter(item => item.instanceId === instanceId);
 	const failing = relevant.filter(item => item.failingSince !== undefined);
-	const isLongEnough = (item: PrimaryEvidence) => now - item.failingSince! >= (item.isRefused ? timing.refusedMs : timing.silentMs);
-	const isAlive = relevant.some(item => item.failingSince === undefined && item.answeredAt !== undefined && now - item.answeredAt < timing.silentMs);
+	const isLongEnough = (item: PrimaryEvidence) => now - item.failingSince! >= (item.isRefused ? timeouts.refusalTimeoutMs : timeouts.silenceTimeoutMs);
+	const isAlive = relevant.some(item => item.failingSince === undefined && item.answeredAt !== undefined && now - item.answeredAt < timeouts.silenceTimeoutMs);
 	return !isAlive && failing.filter(item => isLongEnough(item)).length >= Math.min(2, Math.max(1, members));
 }
--- a/packages/decisions/src/promotion/promotion-round.ts
+++ b/packages/decisions/src/promotion/promotion-round.ts
@@ -32,9 +32,9 @@
 	 * @param term - Term to take.
 	 * @param instances - Every instance of the group.
 	 * @param graceMs - Time that late answers are waited for once a majority has accepted.
-	 * @param failing - Instance that is being replaced; it leads again only where no majority is left without it.
+	 * @param failingPrimary - Instance that is being replaced; it leads again only where no majority is left without it.
 	 */
-	constructor(readonly term: number, private readonly instances: readonly string[], private readonly graceMs: number, private readonly failing?: string) {}
+	constructor(readonly term: number, private readonly instances: readonly string[], private readonly graceMs: number, private readonly failingPrimary?: string) {}
 
 	/** Takes in an answer. */
 	observeAnswer(answer: FenceAnswer, now: number): PromotionCommand {
@@ -66,7 +66,7 @@
 		}
 
 		this.#isOver = true;
-		const others = this.#accepted.filter(answer => answer.instance !== this.failing);
+		const others = this.#accepted.filter(answer => answer.instance !== this.failingPrimary);
 		const candidates = others.length >= getMajority(this.instances.length) ? others : this.#accepted;
 		const successor = candidates.toSorted((a, b) => comparePositions(b.position, a.position) || (a.instance < b.instance ? -1 : 1))[0]!;
 		return {kind: 'promote', instance: successor.instance, term: this.term};
--- a/packages/decisions/src/queueing/fair-queue.ts
+++ b/packages/decisions/src/queueing/fair-queue.ts
@@ -12,9 +12,9 @@
 };
 
 /** Names of the ways to order waiting requests. */
-export type QueuePolicyName = 'fair' | 'first-come';
+export type QueuePolicy = 'fair' | 'first-come';
 
-type AccountQueue<T> = {finish: number; entries: Array<QueueEntry<T>>};
+type AccountQueue<T> = {virtualFinish: number; entries: Array<QueueEntry<T>>};
 
 type PriorityClass<T> = {
 	readonly weight: number;
@@ -34,7 +34,7 @@
 	readonly #classes: Readonly<Record<Priority, PriorityClass<T>>>;
 	#size = 0;
 
-	constructor(private readonly policy: QueuePolicyName = 'fair') {
+	constructor(private readonly policy: QueuePolicy = 'fair') {
 		this.#classes = {
 			high: createClass('high'), normal: createClass('normal'), low: createClass('low'),
 		};
@@ -48,16 +48,16 @@
 	getAccountSize(account: string): number {
 		let size = 0;
 		for (const priority of priorities) {
-			size += this.#classes[priority].accounts.get(this.#getQueueName(account))?.entries.length ?? 0;
+			size += this.#classes[priority].accounts.get(this.#getQueueKey(account))?.entries.length ?? 0;
 		}
 
 		return size;
 	}
 
 	addEntry(entry: QueueEntry<T>): void {
-		const priorityClass = this.#classes[this.#getClassName(entry.priority)];
-		const name = this.#getQueueName(entry.account);
-		const queue = priorityClass.accounts.get(name) ?? {finish: priorityClass.virtualTime, entries: []};
+		const priorityClass = this.#classes[this.#getEffectivePriority(entry.priority)];
+		const name = this.#getQueueKey(entry.account);
+		const queue = priorityClass.accounts.get(name) ?? {virtualFinish: priorityClass.virtualTime, entries: []};
 		if (this.#isEmptyClass(priorityClass)) {
 			priorityClass.served = this.#getLeastServed(priorityClass.served);
 		}
@@ -117,13 +117,13 @@
 	}
 
 	#removeFromClass(priorityClass: PriorityClass<T>, canPlace: (entry: QueueEntry<T>) => boolean): QueueEntry<T> | undefined {
-		const queues = [...priorityClass.accounts].toSorted(([, a], [, b]) => a.finish - b.finish);
+		const queues = [...priorityClass.accounts].toSorted(([, a], [, b]) => a.virtualFinish - b.virtualFinish);
 		for (const [name, queue] of queues) {
 			const index = queue.entries.findIndex(entry => canPlace(entry));
 			if (index !== -1) {
 				const [entry] = queue.entries.splice(index, 1);
-				priorityClass.virtualTime = Math.max(priorityClass.virtualTime, queue.finish);
-				queue.finish = Math.max(queue.finish, priorityClass.virtualTime) + (1 / entry!.weight);
+				priorityClass.virtualTime = Math.max(priorityClass.virtualTime, queue.virtualFinish);
+				queue.virtualFinish = Math.max(queue.virtualFinish, priorityClass.virtualTime) + (1 / entry!.weight);
 				this.#removeIfEmpty(priorityClass, name, queue);
 				this.#size -= 1;
 				return entry;
@@ -135,7 +135,7 @@
 
 	#removeIfEmpty(priorityClass: PriorityClass<T>, name: string, queue: AccountQueue<T>): void {
 		// An idle account keeps its place only while it is ahead of the others.
-		if (queue.entries.length === 0 && queue.finish <= priorityClass.virtualTime) {
+		if (queue.entries.length === 0 && queue.virtualFinish <= priorityClass.virtualTime) {
 			priorityClass.accounts.delete(name);
 		}
 	}
@@ -156,11 +156,11 @@
 		return served.length === 0 ? own : Math.max(own, Math.min(...served));
 	}
 
-	#getQueueName(account: string): string {
+	#getQueueKey(account: string): string {
 		return this.policy === 'fair' ? account : '';
 	}
 
-	#getClassName(priority: Priority): Priority {
+	#getEffectivePriority(priority: Priority): Priority {
 		return this.policy === 'fair' ? priority : 'normal';
 	}
 }
--- a/packages/decisions/src/retries/retry-budget.ts
+++ b/packages/decisions/src/retries/retry-budget.ts
@@ -3,20 +3,20 @@
 	#tokens: number;
 
 	/**
-	 * @param share - Retries allowed for each request.
-	 * @param reserve - Most retries that may come at once.
+	 * @param retriesPerRequest - Retries allowed for each request.
+	 * @param maxTokens - Most retries that may come at once.
 	 */
-	constructor(private readonly share = 0.1, private readonly reserve = 10) {
-		this.#tokens = reserve;
+	constructor(private readonly retriesPerRequest = 0.1, private readonly maxTokens = 10) {
+		this.#tokens = maxTokens;
 	}
 
 	/** Takes in a request that is not a retry. */
 	observeRequest(): void {
-		this.#tokens = Math.min(this.reserve, this.#tokens + this.share);
+		this.#tokens = Math.min(this.maxTokens, this.#tokens + this.retriesPerRequest);
 	}
 
 	/** Takes the right to one retry, where there is one. */
-	takeRetry(): boolean {
+	acquireRetry(): boolean {
 		if (this.#tokens < 1) {
 			return false;
 		}
@@ -26,8 +26,8 @@
 	}
 }
 
-const firstDelayMs = 10;
-const longestDelayMs = 200;
+const initialDelayMs = 10;
+const maxDelayMs = 200;
 
 /**
  * Returns the pause before a retry: exponential, with full jitter.
@@ -35,5 +35,5 @@
  * @param random - A number from zero up to one.
  */
 export function getRetryDelayMs(attempt: number, random: number): number {
-	return Math.min(longestDelayMs, firstDelayMs * (2 ** attempt)) * (0.5 + (random / 2));
+	return Math.min(maxDelayMs, initialDelayMs * (2 ** attempt)) * (0.5 + (random / 2));
 }
--- a/packages/decisions/src/routing/instance-view.ts
+++ b/packages/decisions/src/routing/instance-view.ts
@@ -37,7 +37,7 @@
 		return this.unreachableSince === undefined;
 	}
 
-	get hasRoom(): boolean {
+	get hasCapacity(): boolean {
 		return this.inUse < this.limit;
 	}
 
--- a/packages/decisions/src/routing/read-router.ts
+++ b/packages/decisions/src/routing/read-router.ts
@@ -3,7 +3,7 @@
 import {type InstanceView} from './instance-view.js';
 
 /** What a read asks of the instance that serves it. */
-export type ReadNeed = {
+export type ReadRequirements = {
 	readonly position: LogPosition;
 	readonly primaryOnly: boolean;
 	/** Age of data that the read accepts; zero asks for none in particular. */
@@ -21,22 +21,22 @@
 	| {readonly kind: 'none'};
 
 /** Names of the ways to place reads. */
-export type ReadPolicyName = 'product' | 'primary-only' | 'round-robin';
+export type ReadPolicy = 'product' | 'primary-only' | 'round-robin';
 
 /** Time that a replica is given to reach a position, in milliseconds. */
-export const replicaWaitMs = 25;
+export const maxReplicaWaitMs = 25;
 
-const otherZonePenalty = 0.25;
+const crossZonePenalty = 0.25;
 
 /** Places reads on the instances of a group. */
 export class ReadRouter {
-	#turn = 0;
+	#roundRobinCount = 0;
 
 	/**
 	 * @param zone - Availability zone of this proxy.
 	 * @param policy - How reads are placed.
 	 */
-	constructor(private readonly zone: string, private readonly policy: ReadPolicyName = 'product') {}
+	constructor(private readonly zone: string, private readonly policy: ReadPolicy = 'product') {}
 
 	/**
 	 * Chooses the instance for a read.
@@ -44,42 +44,42 @@
 	 * @param need - What the read asks.
 	 * @param now - Monotonic time in milliseconds.
 	 */
-	chooseInstance(group: GroupState, need: ReadNeed, now: number): ReadChoice {
+	chooseInstance(group: GroupState, need: ReadRequirements, now: number): ReadChoice {
 		// An instance that has not accepted the group's term may hold writes that were never acknowledged.
 		const usable = group.instances.filter(instance => !instance.isLeaving && instance.isReachable && instance.term === group.term && !need.tried.has(instance.name));
 		return this.#policies[this.policy](group, need, usable, now);
 	}
 
-	readonly #policies: Readonly<Record<ReadPolicyName, (group: GroupState, need: ReadNeed, usable: InstanceView[], now: number) => ReadChoice>> = {
+	readonly #policies: Readonly<Record<ReadPolicy, (group: GroupState, need: ReadRequirements, usable: InstanceView[], now: number) => ReadChoice>> = {
 		product: (group, need, usable, now) => this.#chooseByPosition(group, need, usable, now),
 		'primary-only': (group, _need, usable) => this.#choosePrimary(group, usable),
-		'round-robin': (group, need, usable) => this.#chooseInTurn(group, need, usable),
+		'round-robin': (group, need, usable) => this.#chooseRoundRobin(group, need, usable),
 	};
 
-	#chooseByPosition(group: GroupState, need: ReadNeed, usable: InstanceView[], now: number): ReadChoice {
+	#chooseByPosition(group: GroupState, need: ReadRequirements, usable: InstanceView[], now: number): ReadChoice {
 		if (need.primaryOnly) {
 			return this.#choosePrimary(group, usable);
 		}
 
-		const replicas = usable.filter(instance => instance.name !== group.primaryName && isYoungEnough(instance, need, now));
+		const replicas = usable.filter(instance => instance.name !== group.primaryName && isFreshEnough(instance, need, now));
 		const ready = replicas.filter(instance => isAtLeast(instance.position, need.position));
 		if (ready.length > 0) {
 			return this.#chooseLeastLoaded(ready, 0);
 		}
 
-		const behind = replicas.filter(instance => instance.reportedLagMs <= replicaWaitMs);
-		return behind.length > 0 ? this.#chooseLeastLoaded(behind, replicaWaitMs) : this.#choosePrimary(group, usable);
+		const behind = replicas.filter(instance => instance.reportedLagMs <= maxReplicaWaitMs);
+		return behind.length > 0 ? this.#chooseLeastLoaded(behind, maxReplicaWaitMs) : this.#choosePrimary(group, usable);
 	}
 
-	#chooseInTurn(group: GroupState, need: ReadNeed, usable: InstanceView[]): ReadChoice {
+	#chooseRoundRobin(group: GroupState, need: ReadRequirements, usable: InstanceView[]): ReadChoice {
 		const others = usable.filter(instance => instance.name !== group.primaryName);
 		if (need.primaryOnly || others.length === 0) {
 			return this.#choosePrimary(group, usable);
 		}
 
-		this.#turn += 1;
-		const instance = others[this.#turn % others.length]!;
-		return instance.hasRoom ? {kind: 'send', instance, waitMs: 0} : {kind: 'wait'};
+		this.#roundRobinCount += 1;
+		const instance = others[this.#roundRobinCount % others.length]!;
+		return instance.hasCapacity ? {kind: 'send', instance, waitMs: 0} : {kind: 'wait'};
 	}
 
 	#choosePrimary(group: GroupState, usable: InstanceView[]): ReadChoice {
@@ -88,21 +88,21 @@
 			return {kind: 'none'};
 		}
 
-		return primary.hasRoom ? {kind: 'send', instance: primary, waitMs: 0} : {kind: 'wait'};
+		return primary.hasCapacity ? {kind: 'send', instance: primary, waitMs: 0} : {kind: 'wait'};
 	}
 
 	#chooseLeastLoaded(instances: InstanceView[], waitMs: number): ReadChoice {
-		const free = instances.filter(instance => instance.hasRoom);
+		const free = instances.filter(instance => instance.hasCapacity);
 		const [instance] = free.toSorted((a, b) => this.#getCost(a) - this.#getCost(b));
 		return instance === undefined ? {kind: 'wait'} : {kind: 'send', instance, waitMs};
 	}
 
 	#getCost(instance: InstanceView): number {
-		const zoneFactor = instance.zone === this.zone ? 1 : 1 + otherZonePenalty;
+		const zoneFactor = instance.zone === this.zone ? 1 : 1 + crossZonePenalty;
 		return (instance.inUse + 1) * (instance.latencyMs + 1) * zoneFactor;
 	}
 }
 
-function isYoungEnough(instance: InstanceView, need: ReadNeed, now: number): boolean {
+function isFreshEnough(instance: InstanceView, need: ReadRequirements, now: number): boolean {
 	return need.maxStalenessMs === 0 || instance.getStalenessMs(now) <= need.maxStalenessMs;
 }
--- a/packages/decisions/src/tests/promotion/failure-detector.test.ts
+++ b/packages/decisions/src/tests/promotion/failure-detector.test.ts
@@ -15,9 +15,9 @@
 	return group;
 }
 
-function createWord(vm: string, failingMs: number, heardAt: number, term = 1) {
+function createReport(vm: string, failingMs: number, requestedAt: number, term = 1) {
 	return {
-		vm, term, failingMs, heardAt,
+		vm, term, failingMs, requestedAt,
 	};
 }
 
@@ -27,13 +27,13 @@
 	group.getInstance('a')!.observeUnreachable(1000);
 	detector.observe(60_000);
 	t.false(detector.isPromotionDue('v1', watchers, 60_000));
-	detector.observeWord(createWord('v2', 0, 59_900));
+	detector.observeReport(createReport('v2', 0, 59_900));
 	t.false(detector.isPromotionDue('v1', watchers, 60_000), 'the other one reaches it');
-	detector.observeWord(createWord('v2', 700, 59_900, 0));
+	detector.observeReport(createReport('v2', 700, 59_900, 0));
 	t.false(detector.isPromotionDue('v1', watchers, 60_000), 'a word about another term');
-	detector.observeWord(createWord('v2', 900, 50_000));
+	detector.observeReport(createReport('v2', 900, 50_000));
 	t.false(detector.isPromotionDue('v1', watchers, 60_000), 'a word that is too old');
-	detector.observeWord(createWord('v2', 900, 59_900));
+	detector.observeReport(createReport('v2', 900, 59_900));
 	t.true(detector.isPromotionDue('v1', watchers, 60_000));
 	detector.observePromotionStarted(60_000);
 	t.false(detector.isPromotionDue('v1', watchers, 61_000), 'flapping is damped');
--- a/packages/decisions/src/tests/queueing/fair-queue.test.ts
+++ b/packages/decisions/src/tests/queueing/fair-queue.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
-import {FairQueue, type Priority, type QueuePolicyName} from '../../index.js';
+import {FairQueue, type Priority, type QueuePolicy} from '../../index.js';
 
-function createQueue(policy: QueuePolicyName = 'fair') {
+function createQueue(policy: QueuePolicy = 'fair') {
 	const queue = new FairQueue<number>(policy);
 	let number = 0;
 	const add = (account: string, priority: Priority = 'normal', weight = 1, deadline = 1000) => {
--- a/packages/decisions/src/tests/queueing/wait-estimator.test.ts
+++ b/packages/decisions/src/tests/queueing/wait-estimator.test.ts
@@ -24,7 +24,7 @@
 		due += perS(Math.floor(now / 1000)) / 1000;
 		for (; due >= 1; due--) {
 			figures.asked += 1;
-			if (queue.length > 0 && (estimator?.estimateMs(queue.length) ?? 0) > aimMs) {
+			if (queue.length > 0 && (estimator?.estimateWaitMs(queue.length) ?? 0) > aimMs) {
 				figures.refused += 1;
 			} else {
 				queue.push(now);
@@ -67,8 +67,8 @@
 		estimator.observePlaced(3, now);
 	}
 
-	const before = estimator.estimateMs(4);
+	const before = estimator.estimateWaitMs(4);
 	estimator.observePlaced(3, 9000);
-	t.is(estimator.estimateMs(4), before);
+	t.is(estimator.estimateWaitMs(4), before);
 	t.true(before > 40 && before < 60, `${before}`);
 });
--- a/packages/decisions/src/tests/retries/backoff.test.ts
+++ b/packages/decisions/src/tests/retries/backoff.test.ts
@@ -3,12 +3,12 @@
 
 test('pauses double up to a bound, and begin anew after a success', t => {
 	const backoff = new Backoff(250, 1000, () => 0.5);
-	t.deepEqual([1, 2, 3, 4].map(() => backoff.takePauseMs()), [250, 500, 1000, 1000]);
+	t.deepEqual([1, 2, 3, 4].map(() => backoff.getNextDelayMs()), [250, 500, 1000, 1000]);
 	backoff.reset();
-	t.is(backoff.takePauseMs(), 250);
+	t.is(backoff.getNextDelayMs(), 250);
 });
 
 test('callers that fail at the same moment come back at different ones', t => {
-	t.is(new Backoff(100, 1000, () => 0).takePauseMs(), 50);
-	t.is(new Backoff(100, 1000, () => 0.9).takePauseMs(), 140);
+	t.is(new Backoff(100, 1000, () => 0).getNextDelayMs(), 50);
+	t.is(new Backoff(100, 1000, () => 0.9).getNextDelayMs(), 140);
 });
--- a/packages/decisions/src/tests/retries/retry-table.test.ts
+++ b/packages/decisions/src/tests/retries/retry-table.test.ts
@@ -28,7 +28,7 @@
 	let retries = 0;
 	for (let request = 0; request < 1000; request += 1) {
 		budget.observeRequest();
-		retries += budget.takeRetry() ? 1 : 0;
+		retries += budget.acquireRetry() ? 1 : 0;
 	}
 
 	t.true(retries <= 110 && retries >= 100, String(retries));
--- a/packages/decisions/src/tests/routing/read-router.test.ts
+++ b/packages/decisions/src/tests/routing/read-router.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {isAtLeast} from '@chicorysaddle/model';
-import {GroupState, type ReadNeed, ReadRouter} from '../../index.js';
+import {GroupState, type ReadRequirements, ReadRouter} from '../../index.js';
 
 const instance = fc.record({
 	term: fc.integer({min: 1, max: 2}), offset: fc.nat(9), lagMs: fc.nat(3000), inUse: fc.nat(3), isReachable: fc.boolean(), isLeaving: fc.boolean(),
@@ -25,12 +25,12 @@
 		}
 
 		group.observePrimary(2, 'i0');
-		const need: ReadNeed = {...wanted, tried: new Set(['i2'])};
+		const need: ReadRequirements = {...wanted, tried: new Set(['i2'])};
 		const choice = new ReadRouter('z').chooseInstance(group, need, 0);
 		if (choice.kind === 'send') {
 			sent += 1;
 			const chosen = choice.instance;
-			t.true(chosen.isReachable && !chosen.isLeaving && chosen.hasRoom && chosen.term === 2 && chosen.name !== 'i2');
+			t.true(chosen.isReachable && !chosen.isLeaving && chosen.hasCapacity && chosen.term === 2 && chosen.name !== 'i2');
 			t.true(!need.primaryOnly || chosen.name === 'i0');
 			t.true(chosen.name === 'i0' || need.maxStalenessMs === 0 || chosen.getStalenessMs(0) <= need.maxStalenessMs);
 			t.true(chosen.name === 'i0' || choice.waitMs > 0 || isAtLeast(chosen.position, need.position));
--- a/packages/decisions/src/tests/sessions/session.test.ts
+++ b/packages/decisions/src/tests/sessions/session.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {comparePositions} from '@chicorysaddle/model';
-import {Session, type SessionMark} from '../../index.js';
+import {Session, type SessionWatermark} from '../../index.js';
 
-const marks = fc.array(fc.tuple(fc.constantFrom('a', 'b'), fc.record<SessionMark>({
+const marks = fc.array(fc.tuple(fc.constantFrom('a', 'b'), fc.record<SessionWatermark>({
 	position: fc.record({term: fc.nat(3), offset: fc.nat(9)}), primaryOnly: fc.boolean(),
 })), {maxLength: 4});
 
@@ -14,11 +14,11 @@
 		const other = new Session(right);
 		other.merge(new Session(left));
 		for (const group of ['a', 'b']) {
-			const merged = one.getMark(group);
-			const inputs = [new Session(left).getMark(group), new Session(right).getMark(group)];
+			const merged = one.getWatermark(group);
+			const inputs = [new Session(left).getWatermark(group), new Session(right).getWatermark(group)];
 			t.true(inputs.every(mark => comparePositions(merged.position, mark.position) >= 0));
 			t.is(merged.primaryOnly, inputs.some(mark => mark.primaryOnly));
-			t.deepEqual(other.getMark(group), merged);
+			t.deepEqual(other.getWatermark(group), merged);
 		}
 	}), {seed: 1});
 });
@@ -26,8 +26,8 @@
 test('a write with unknown outcome binds the group to the primary until a read there', t => {
 	const session = new Session();
 	session.observeUnknownWrite('a');
-	session.observe('a', {term: 1, offset: 4}, false);
-	t.true(session.getMark('a').primaryOnly);
-	session.observe('a', {term: 1, offset: 4}, true);
-	t.false(session.getMark('a').primaryOnly);
+	session.observePosition('a', {term: 1, offset: 4}, false);
+	t.true(session.getWatermark('a').primaryOnly);
+	session.observePosition('a', {term: 1, offset: 4}, true);
+	t.false(session.getWatermark('a').primaryOnly);
 });
--- a/packages/gateway/src/configuration/configuration-keeper.ts
+++ b/packages/gateway/src/configuration/configuration-keeper.ts
@@ -80,7 +80,7 @@
 				// What the store's history no longer holds is read in full.
 				this.#storeVersion = undefined;
 				this.#observeStore(result.failure.reason === 'history-gone', `${result.failure.reason}: ${result.failure.message}`);
-				await pause(this.#backoff.takePauseMs());
+				await pause(this.#backoff.getNextDelayMs());
 			}
 		}
 	}
--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -1,6 +1,6 @@
 import {type Moment} from '@chicorysaddle/decisions';
 import {
-	type Heartbeat, type parsePeerMessage, type Report, type TokenGrants, type TokenWants,
+	type Heartbeat, type parsePeerMessage, type CoordinatorReport, type TokenGrants, type TokenDemands,
 } from '@chicorysaddle/protocol/coordination';
 import {type ConfigurationKeeper, type ConfigurationView} from '../configuration/index.js';
 import {type Dispatcher} from '../dispatch/index.js';
@@ -464,7 +464,7 @@
 		}
 	}
 
-	#receiveReport(report: Report): void {
+	#receiveReport(report: CoordinatorReport): void {
 		const now = this.parts.clock.now();
 		for (const term of report.terms ?? []) {
 			this.parts.terms.applyTerm(term);
@@ -512,7 +512,7 @@
 		}
 	}
 
-	#applyReport(report: Report): void {
+	#applyReport(report: CoordinatorReport): void {
 		this.#isFollower = report.isFollower;
 		this.parts.limiter.setMembers(report.members);
 		this.parts.dispatcher.setMembers(report.members);
@@ -524,7 +524,7 @@
 	}
 
 	/** Asks the coordinator for tokens; undefined when it does not answer in time. */
-	async #requestTokens(wants: TokenWants): Promise<TokenGrants | undefined> {
+	async #requestTokens(wants: TokenDemands): Promise<TokenGrants | undefined> {
 		if (this.parts.duty.isHeld()) {
 			return this.parts.coordinator.issueTokens(this.parts.identity.vm, wants);
 		}
--- a/packages/gateway/src/coordination/coordinator.ts
+++ b/packages/gateway/src/coordination/coordinator.ts
@@ -1,6 +1,6 @@
 import {type PrimaryEvidence, TokenIssuer} from '@chicorysaddle/decisions';
 import {
-	type Heartbeat, type Report, type TokenGrants, type TokenWants,
+	type Heartbeat, type CoordinatorReport, type TokenGrants, type TokenDemands,
 } from '@chicorysaddle/protocol/coordination';
 import {type ConfigurationView} from '../configuration/index.js';
 import {type Instance} from '../instances/index.js';
@@ -40,7 +40,7 @@
 	readonly #issuer: TokenIssuer;
 	#registered: ReadonlySet<string> = new Set();
 	/** Absent until the list was read: an empty list would say that every instance is gone. */
-	#instances: Report['instances'];
+	#instances: CoordinatorReport['instances'];
 
 	constructor(private readonly parts: CoordinatorParts) {
 		this.#issuer = new TokenIssuer(parts.limitWindowMs);
@@ -68,7 +68,7 @@
 	}
 
 	/** Answers a heartbeat. */
-	receiveHeartbeat(heartbeat: Heartbeat, link: PeerLink | undefined): Report {
+	receiveHeartbeat(heartbeat: Heartbeat, link: PeerLink | undefined): CoordinatorReport {
 		const now = this.parts.clock.now();
 		const isDelayed = heartbeat.sequence < (this.#members.get(heartbeat.vm)?.heartbeat.sequence ?? 0)
 			&& heartbeat.incarnation === this.#members.get(heartbeat.vm)?.heartbeat.incarnation;
@@ -105,8 +105,8 @@
 		}
 	}
 
-	createReport(vm: string, sequence: number | undefined): Report {
-		const positions: Report['positions'] = {};
+	createReport(vm: string, sequence: number | undefined): CoordinatorReport {
+		const positions: CoordinatorReport['positions'] = {};
 		const terms = this.parts.terms.getTerms();
 		const heartbeat = this.#members.get(vm)?.heartbeat;
 		const isKnown = terms.every(term => heartbeat?.revisions[term.group] === term.revision);
@@ -138,7 +138,7 @@
 	}
 
 	/** Gives a VM tokens of the accounts that it asks for. */
-	issueTokens(vm: string, wants: TokenWants): TokenGrants {
+	issueTokens(vm: string, wants: TokenDemands): TokenGrants {
 		const now = this.parts.clock.now();
 		// A VM whose link was closed is gone with its process; one that is only silent may live and go on.
 		const silence = {silent: this.getSilent(heardMs).filter(name => this.#members.get(name)?.link?.isOpen !== false), members: this.memberCount};
--- a/packages/gateway/src/coordination/heartbeat-writer.ts
+++ b/packages/gateway/src/coordination/heartbeat-writer.ts
@@ -1,5 +1,5 @@
 import {type Moment} from '@chicorysaddle/decisions';
-import {type Heartbeat, type Report} from '@chicorysaddle/protocol/coordination';
+import {type Heartbeat, type CoordinatorReport} from '@chicorysaddle/protocol/coordination';
 import {type ConfigurationView} from '../configuration/index.js';
 import {type Dispatcher} from '../dispatch/index.js';
 import {type Clock} from '../ports/index.js';
@@ -55,7 +55,7 @@
 	}
 
 	/** Takes in a report; returns when the heartbeat was sent that it answers, if it answers one. */
-	observeReport(report: Report): Moment | undefined {
+	observeReport(report: CoordinatorReport): Moment | undefined {
 		this.#echo = {stampMs: report.stampMs, receivedAt: this.parts.clock.now()};
 		return this.#sent.find(heartbeat => heartbeat.sequence === report.sequence)?.at;
 	}
--- a/packages/gateway/src/coordination/token-channel.ts
+++ b/packages/gateway/src/coordination/token-channel.ts
@@ -1,4 +1,4 @@
-import {type TokenGrants, type TokenWants} from '@chicorysaddle/protocol/coordination';
+import {type TokenGrants, type TokenDemands} from '@chicorysaddle/protocol/coordination';
 import {type PeerLink} from '../ports/index.js';
 
 /** Time for an answer about tokens, milliseconds: several round trips within a region. */
@@ -13,7 +13,7 @@
 	constructor(private readonly vm: string) {}
 
 	/** Asks for tokens; undefined when no answer comes in time. */
-	async request(link: PeerLink, wants: TokenWants): Promise<TokenGrants | undefined> {
+	async request(link: PeerLink, wants: TokenDemands): Promise<TokenGrants | undefined> {
 		this.#sequence += 1;
 		const sequence = this.#sequence;
 		link.send({
--- a/packages/gateway/src/dispatch/dispatcher.ts
+++ b/packages/gateway/src/dispatch/dispatcher.ts
@@ -195,10 +195,10 @@
 	/** Refuses what needs a primary that this VM will not be able to use for a while. */
 	#checkPrimary(request: PlaceRequest): Refusal | undefined {
 		if (request.target === 'primary' && this.parts.terms.getUnheldMs() > unheldMs) {
-			return refusals.noPrimaryYet(request.group, unheldRetryMs * (0.5 + this.parts.random()));
+			return refusals.primaryUnavailable(request.group, unheldRetryMs * (0.5 + this.parts.random()));
 		}
 
-		return this.#isCutOff(request) ? refusals.noPrimaryYet(request.group, cutOffRetryMs) : undefined;
+		return this.#isCutOff(request) ? refusals.primaryUnavailable(request.group, cutOffRetryMs) : undefined;
 	}
 
 	/** Says whether this VM cannot reach a primary that others do reach: their callers' statements are served, ours are not. */
@@ -225,7 +225,7 @@
 		const rivals = [...waiting].filter(other => other !== waiter && other.request.target === request.target && other.request.priority <= request.priority);
 		const own = rivals.filter(other => other.request.account === request.account).length;
 		const accounts = new Set([request.account, ...rivals.map(other => other.request.account)]).size;
-		const waitMs = this.#getEstimator(request).estimateMs(Math.min(rivals.length, own * accounts));
+		const waitMs = this.#getEstimator(request).estimateWaitMs(Math.min(rivals.length, own * accounts));
 		if (waitMs > request.deadline - this.parts.clock.now()) {
 			this.#queues.get(request.group)!.removeEntry(waiter);
 			this.parts.metrics.addCount('place_hopeless');
--- a/packages/gateway/src/instances/instance-keeper.ts
+++ b/packages/gateway/src/instances/instance-keeper.ts
@@ -43,7 +43,7 @@
 		while (!this.#isStopped) {
 			const isRead = this.#isReading ? await this.#read() : true;
 			await new Promise<void>(resolve => {
-				const timer = setTimeout(resolve, isRead ? readIntervalMs : this.#backoff.takePauseMs());
+				const timer = setTimeout(resolve, isRead ? readIntervalMs : this.#backoff.getNextDelayMs());
 				this.#wake = () => {
 					clearTimeout(timer);
 					resolve();
--- a/packages/gateway/src/observability/decision-log.ts
+++ b/packages/gateway/src/observability/decision-log.ts
@@ -1,6 +1,6 @@
 import process from 'node:process';
 import {
-	eventCatalogue, type EventImportance, type EventName, type FieldsOf,
+	eventCatalogue, type EventImportance, type EventName, type EventFieldsByName,
 } from '@chicorysaddle/model';
 import {Roarr, ROARR} from 'roarr';
 
@@ -39,7 +39,7 @@
 	 * @param name - Name in the catalogue.
 	 * @param fields - Inputs and outcome.
 	 */
-	logEvent<Name extends EventName>(name: Name, fields: FieldsOf<Name>): void {
+	logEvent<Name extends EventName>(name: Name, fields: EventFieldsByName<Name>): void {
 		const now = Date.now();
 		if (now >= this.#windowEndsAt || now < this.#windowEndsAt - windowMs) {
 			this.#startWindow(now);
--- a/packages/gateway/src/sessions/caller-session.ts
+++ b/packages/gateway/src/sessions/caller-session.ts
@@ -422,7 +422,7 @@
 		this.services.log.logEvent('statement.refused', {
 			connection: this.identity.connectionId, request: request.id, database: this.identity.database, group: this.#getGroup(),
 			statement: request.statement.kind, kind: refusal.kind, why: refusal.message,
-			ran: refusal.answer.ran, retryAfterMs: refusal.retryAfterMs, state: this.#state,
+			ran: refusal.details.ran, retryAfterMs: refusal.retryAfterMs, state: this.#state,
 			places: refusal.kind === 'overloaded' ? this.services.dispatcher.describePools(this.#getGroup()) : undefined, configuration: this.services.configuration.version,
 		});
 		if (!this.#isClosed) {
--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -1,4 +1,4 @@
-import {type Moment, PositionLog, TimedLease} from '@chicorysaddle/decisions';
+import {type Moment, PositionHistory, TimedLease} from '@chicorysaddle/decisions';
 import {type LogPosition} from '@chicorysaddle/model';
 import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
 import {type Clock} from '../ports/index.js';
@@ -31,7 +31,7 @@
 export class TermRegistry {
 	readonly #terms = new Map<string, GroupTerm>();
 	readonly #closedSince = new Map<string, number>();
-	readonly #positions = new Map<string, PositionLog>();
+	readonly #positions = new Map<string, PositionHistory>();
 	readonly #writes = new Map<string, number>();
 	readonly #settled = new Map<string, number>();
 	readonly #lease = new TimedLease(termLeaseMs);
@@ -231,14 +231,14 @@
 
 	/** Returns a group's newest known position with its age. */
 	getNewestPosition(group: string): {readonly position: LogPosition; readonly ageMs: number} | undefined {
-		const sample = this.#positions.get(group)?.getNewest();
+		const sample = this.#positions.get(group)?.getNewestSample();
 		return sample === undefined ? undefined : {position: sample.position, ageMs: this.clock.now() - sample.observedAt};
 	}
 
-	#getPositions(group: string): PositionLog {
+	#getPositions(group: string): PositionHistory {
 		let log = this.#positions.get(group);
 		if (log === undefined) {
-			log = new PositionLog(keptPositionsMs);
+			log = new PositionHistory(keptPositionsMs);
 			this.#positions.set(group, log);
 		}
 
--- a/packages/model/src/configuration/configuration-row.ts
+++ b/packages/model/src/configuration/configuration-row.ts
@@ -4,8 +4,8 @@
 /** Longest name of an account, group, endpoint or route, in characters. */
 export const maxNameLength = 100;
 
-const name = z.string().min(1).max(maxNameLength).regex(/^[^\s\/\p{C}][^\/\p{C}]*$/v, 'must not hold "/" or control characters');
-const address = z.string().regex(/^[\w.:\[\]\-]+:\d{1,5}$/v, 'must be host:port');
+const nameSchema = z.string().min(1).max(maxNameLength).regex(/^[^\s\/\p{C}][^\/\p{C}]*$/v, 'must not hold "/" or control characters');
+const addressSchema = z.string().regex(/^[\w.:\[\]\-]+:\d{1,5}$/v, 'must be host:port');
 
 /** Limits of a client account: requests a second, and the largest burst. */
 export const accountSchema = z.object({
@@ -15,16 +15,16 @@
 });
 
 /** A key, stored under its SHA-256 hash. */
-export const keySchema = z.object({account: name, label: z.string().default('')});
+export const keySchema = z.object({account: nameSchema, label: z.string().default('')});
 
 /** A database group and what its instances support. */
 export const groupSchema = z.object({recordsRequestIds: z.boolean().default(true)});
 
 /** One instance of a database group. */
 export const endpointSchema = z.object({
-	group: name,
-	address,
-	zone: name,
+	group: nameSchema,
+	address: addressSchema,
+	zone: nameSchema,
 	slots: z.number().int().positive(),
 	connections: z.number().int().positive(),
 	state: z.enum(['active', 'leaving']).default('active'),
@@ -32,7 +32,7 @@
 
 /** A named operation on a database group. */
 export const routeSchema = z.object({
-	group: name,
+	group: nameSchema,
 	access: z.enum(['read', 'write']),
 	repeatable: z.boolean(),
 	priority: z.enum(['high', 'normal', 'low']).default('normal'),
@@ -60,7 +60,7 @@
 /** Kinds of configuration rows. */
 export type RowKind = keyof typeof schemas;
 export type AccountLimits = z.infer<typeof accountSchema>;
-export type KeyGrant = z.infer<typeof keySchema>;
+export type ApiKey = z.infer<typeof keySchema>;
 export type DatabaseGroup = z.infer<typeof groupSchema>;
 export type Endpoint = z.infer<typeof endpointSchema>;
 export type Route = z.infer<typeof routeSchema>;
@@ -70,7 +70,7 @@
 /** The value type of each kind of row. */
 export type RowValues = {
 	account: AccountLimits;
-	key: KeyGrant;
+	key: ApiKey;
 	group: DatabaseGroup;
 	endpoint: Endpoint;
 	route: Route;
@@ -106,7 +106,7 @@
 		return Left(`${row.key}: unknown kind "${kind}"`);
 	}
 
-	if (!name.safeParse(rowName).success) {
+	if (!nameSchema.safeParse(rowName).success) {
 		return Left(`${row.key}: bad name "${rowName}"`);
 	}
 
--- a/packages/model/src/configuration/configuration.ts
+++ b/packages/model/src/configuration/configuration.ts
@@ -44,7 +44,7 @@
 	}
 
 	/** Returns the account that a key hash belongs to. */
-	getAccountOfKey(hash: string): string | undefined {
+	getAccountByKeyHash(hash: string): string | undefined {
 		return this.#tables.key.get(hash)?.account;
 	}
 
@@ -53,7 +53,7 @@
 	}
 
 	/** Says whether a group records request ids with its writes. */
-	isRecordingGroup(name: string): boolean {
+	isRecordingRequestIds(name: string): boolean {
 		return this.#tables.group.get(name)?.recordsRequestIds ?? false;
 	}
 
@@ -66,7 +66,7 @@
 	}
 
 	/** Returns the names of the VMs whose word counts towards a majority. */
-	getVoters(): string[] {
+	getVoterNames(): string[] {
 		return [...this.#tables.voter.keys()];
 	}
 
--- a/packages/model/src/errors/error-kind.ts
+++ b/packages/model/src/errors/error-kind.ts
@@ -23,7 +23,7 @@
 	| 'internal';
 
 /** Whether a refused request may have run. */
-export type Ran = 'no' | 'unknown';
+export type ExecutionStatus = 'no' | 'unknown';
 
 /** Names of the Connect status codes that refusals use. */
 export type StatusName =
@@ -40,46 +40,46 @@
 	| 'internal';
 
 /** What a caller is told for one kind of error. */
-export type RefusalAnswer = {
+export type RefusalDetails = {
 	readonly status: StatusName;
-	readonly ran: Ran;
+	readonly ran: ExecutionStatus;
 	readonly retryable: boolean;
 	/** Time after which a retry is worth it, where the refusal gives none; milliseconds. */
 	readonly retryAfterMs: number;
 };
 
-function describeAnswer(status: StatusName, ran: Ran, retryAfterMs?: number): RefusalAnswer {
+function createDetails(status: StatusName, ran: ExecutionStatus, retryAfterMs?: number): RefusalDetails {
 	return {
 		status, ran, retryable: retryAfterMs !== undefined, retryAfterMs: retryAfterMs ?? 0,
 	};
 }
 
 /** The answer for each kind of error. */
-export const refusalAnswers: Readonly<Record<ErrorKind, RefusalAnswer>> = {
-	'invalid-request': describeAnswer('invalid_argument', 'no'),
-	unauthenticated: describeAnswer('unauthenticated', 'no'),
-	forbidden: describeAnswer('permission_denied', 'no'),
-	'unknown-route': describeAnswer('not_found', 'no'),
-	'session-invalid': describeAnswer('invalid_argument', 'no'),
-	'request-mismatch': describeAnswer('failed_precondition', 'no'),
-	'over-limit': describeAnswer('resource_exhausted', 'no', 1000),
-	overloaded: describeAnswer('unavailable', 'no', 500),
-	'stale-view': describeAnswer('unavailable', 'no', 500),
-	'no-primary': describeAnswer('unavailable', 'no', 1000),
-	'deadline-not-run': describeAnswer('deadline_exceeded', 'no', 0),
-	'deadline-unknown': describeAnswer('deadline_exceeded', 'unknown'),
-	'outcome-unknown': describeAnswer('unknown', 'unknown'),
-	'transaction-lost': describeAnswer('aborted', 'no', 0),
-	'transaction-not-found': describeAnswer('not_found', 'no'),
-	'statement-failed': describeAnswer('unknown', 'unknown'),
-	'statement-timeout': describeAnswer('deadline_exceeded', 'unknown'),
-	'prepared-not-found': describeAnswer('not_found', 'no'),
-	conflict: describeAnswer('failed_precondition', 'no'),
-	'store-unavailable': describeAnswer('unavailable', 'unknown', 1000),
-	internal: describeAnswer('internal', 'unknown'),
+export const refusalDetails: Readonly<Record<ErrorKind, RefusalDetails>> = {
+	'invalid-request': createDetails('invalid_argument', 'no'),
+	unauthenticated: createDetails('unauthenticated', 'no'),
+	forbidden: createDetails('permission_denied', 'no'),
+	'unknown-route': createDetails('not_found', 'no'),
+	'session-invalid': createDetails('invalid_argument', 'no'),
+	'request-mismatch': createDetails('failed_precondition', 'no'),
+	'over-limit': createDetails('resource_exhausted', 'no', 1000),
+	overloaded: createDetails('unavailable', 'no', 500),
+	'stale-view': createDetails('unavailable', 'no', 500),
+	'no-primary': createDetails('unavailable', 'no', 1000),
+	'deadline-not-run': createDetails('deadline_exceeded', 'no', 0),
+	'deadline-unknown': createDetails('deadline_exceeded', 'unknown'),
+	'outcome-unknown': createDetails('unknown', 'unknown'),
+	'transaction-lost': createDetails('aborted', 'no', 0),
+	'transaction-not-found': createDetails('not_found', 'no'),
+	'statement-failed': createDetails('unknown', 'unknown'),
+	'statement-timeout': createDetails('deadline_exceeded', 'unknown'),
+	'prepared-not-found': createDetails('not_found', 'no'),
+	conflict: createDetails('failed_precondition', 'no'),
+	'store-unavailable': createDetails('unavailable', 'unknown', 1000),
+	internal: createDetails('internal', 'unknown'),
 };
 
 /** Says whether a string names a kind of error. */
 export function isErrorKind(value: string): value is ErrorKind {
-	return Object.hasOwn(refusalAnswers, value);
+	return Object.hasOwn(refusalDetails, value);
 }
--- a/packages/model/src/errors/refusal.ts
+++ b/packages/model/src/errors/refusal.ts
@@ -1,4 +1,4 @@
-import {type ErrorKind, type RefusalAnswer, refusalAnswers} from './error-kind.js';
+import {type ErrorKind, type RefusalDetails, refusalDetails} from './error-kind.js';
 
 /** A request that was not served, with the reason. */
 export class Refusal extends Error {
@@ -9,18 +9,18 @@
 	 * @param message - What was wrong, with the offending value.
 	 * @param retryAfterMs - Time after which a retry is worth it; the kind's own where absent.
 	 */
-	constructor(readonly kind: ErrorKind, message: string, readonly retryAfterMs: number = refusalAnswers[kind].retryAfterMs) {
+	constructor(readonly kind: ErrorKind, message: string, readonly retryAfterMs: number = refusalDetails[kind].retryAfterMs) {
 		super(message);
 	}
 
 	/** The answer that the kind stands for. */
-	get answer(): RefusalAnswer {
-		return refusalAnswers[this.kind];
+	get details(): RefusalDetails {
+		return refusalDetails[this.kind];
 	}
 
 	/** Whether the refused request provably did not run. */
-	get isNotRun(): boolean {
-		return this.answer.ran === 'no';
+	get hasNotRun(): boolean {
+		return this.details.ran === 'no';
 	}
 }
 
@@ -32,7 +32,7 @@
 	forbidden: (what: string) => new Refusal('forbidden', `${what} belongs to another client account`),
 	invalid: (what: string) => new Refusal('invalid-request', what),
 	invalidSession: (why: string) => new Refusal('session-invalid', `session token ${why}`),
-	mismatch: (id: string) => new Refusal('request-mismatch', `Idempotency-Key "${id}" was used with another body`),
+	requestMismatch: (id: string) => new Refusal('request-mismatch', `Idempotency-Key "${id}" was used with another body`),
 	overLimit: (account: string, retryAfterMs: number, limit = 'its rate') => new Refusal('over-limit', `client account "${account}" is over ${limit}`, retryAfterMs),
 	overloaded: (group: string, retryAfterMs: number) => new Refusal('overloaded', `database group "${group}" has no free slot`, retryAfterMs),
 	staleView: (ageMs: number) => new Refusal('stale-view', `no word on the configuration for ${Math.round(ageMs)} ms`),
@@ -43,7 +43,7 @@
 	transactionLost: (id: string) => new Refusal('transaction-lost', `transaction "${id}" was rolled back`),
 	transactionNotFound: (id: string) => new Refusal('transaction-not-found', `no transaction "${id}"`),
 	unknownDatabase: (name: string) => new Refusal('unknown-route', `no database named "${name}"`),
-	noPrimaryYet: (group: string, retryAfterMs: number) => new Refusal('no-primary', `database group "${group}" has no primary now`, retryAfterMs),
+	primaryUnavailable: (group: string, retryAfterMs: number) => new Refusal('no-primary', `database group "${group}" has no primary now`, retryAfterMs),
 	transactionAborted: (why: string) => new Refusal('transaction-lost', `the transaction was rolled back: ${why}`),
 	statementFailed: (why: string) => new Refusal('statement-failed', why),
 	statementTimeout: (timeoutMs: number) => new Refusal('statement-timeout', `no answer within ${timeoutMs} ms`),
--- a/packages/model/src/events/event-structure.ts
+++ b/packages/model/src/events/event-definition.ts
@@ -8,13 +8,13 @@
 export type EventFieldKind = 'string' | 'number' | 'boolean' | 'string?' | 'number?' | 'counts';
 
 /** What stands in the catalogue about one event. */
-export type EventStructure = {
+export type EventDefinition = {
 	readonly importance: EventImportance;
 	readonly scope: EventScope;
 	/** Whether it may be the cause of how a request near it was answered. */
-	readonly isCause: boolean;
+	readonly isPossibleCause: boolean;
 	/** One line on what it says, for whoever reads the log. */
-	readonly says: string;
+	readonly description: string;
 	readonly fields: Readonly<Record<string, EventFieldKind>>;
 };
 
@@ -28,6 +28,6 @@
 };
 
 /** Values of the fields of an event. */
-export type EventFields<Structure extends EventStructure> = {
+export type EventFields<Structure extends EventDefinition> = {
 	readonly [Name in keyof Structure['fields']]: FieldTypes[Structure['fields'][Name]];
 };
--- a/packages/model/src/events/index.ts
+++ b/packages/model/src/events/index.ts
@@ -1,2 +1,2 @@
 export * from './event-catalogue.js';
-export type * from './event-structure.js';
+export type * from './event-definition.js';
--- a/packages/model/src/tests/events/event-catalogue.test.ts
+++ b/packages/model/src/tests/events/event-catalogue.test.ts
@@ -1,6 +1,6 @@
 import {readFile} from 'node:fs/promises';
 import test from 'ava';
-import {eventCatalogue, formatEventTable, getEventStructure} from '../../events/index.js';
+import {eventCatalogue, formatEventTable, getEventDefinition} from '../../events/index.js';
 
 test('the page for operators lists every event as the catalogue has it', async t => {
 	const page = await readFile(new URL('../../../../../docs/OPERATIONS.md', import.meta.url), 'utf8');
@@ -9,7 +9,7 @@
 });
 
 test('what stands in no catalogue has no structure, however it is named', t => {
-	t.is(getEventStructure('term.adopted')?.isCause, true);
-	t.is(getEventStructure('term.forgotten'), undefined);
-	t.is(getEventStructure('constructor'), undefined);
+	t.is(getEventDefinition('term.adopted')?.isPossibleCause, true);
+	t.is(getEventDefinition('term.forgotten'), undefined);
+	t.is(getEventDefinition('constructor'), undefined);
 });
--- a/packages/protocol/src/coordination/messages.ts
+++ b/packages/protocol/src/coordination/messages.ts
@@ -2,13 +2,13 @@
 	array, boolean, Codec, exactly, type GetType, number, oneOf, optional, record, string,
 } from 'purify-ts';
 
-const position = Codec.interface({term: number, offset: number});
+const positionCodec = Codec.interface({term: number, offset: number});
 
 /** A primary's position, as old as the sender says. */
-const positionReport = Codec.interface({position, ageMs: number});
+const positionReportCodec = Codec.interface({position: positionCodec, ageMs: number});
 
 /** Evidence on a group's primary. */
-const evidenceReport = Codec.interface({
+const evidenceReportCodec = Codec.interface({
 	instanceId: string,
 	/** Time since the last answer, absent where there was none. */
 	answeredAgoMs: optional(number),
@@ -19,7 +19,7 @@
 });
 
 /** Who leads a group, as the store's row of that revision says. */
-const groupTerm = Codec.interface({
+const groupTermCodec = Codec.interface({
 	group: string,
 	term: number,
 	primaryId: string,
@@ -30,7 +30,7 @@
 });
 
 /** An instance as VMs know it. */
-const instanceEntry = Codec.interface({
+const instanceEntryCodec = Codec.interface({
 	id: string,
 	group: string,
 	address: string,
@@ -47,8 +47,8 @@
 	vm: string,
 	incarnation: string,
 	sequence: number,
-	positions: record(string, positionReport),
-	evidence: record(string, evidenceReport),
+	positions: record(string, positionReportCodec),
+	evidence: record(string, evidenceReportCodec),
 	/** Newest revision of each group's term that this VM acts by. */
 	revisions: record(string, number),
 	configurationVersion: number,
@@ -59,7 +59,7 @@
 });
 
 /** What the coordinator answers, or pushes without a sequence when a term changes. */
-export const reportCodec = Codec.interface({
+export const coordinatorReportCodec = Codec.interface({
 	kind: exactly('report'),
 	sequence: optional(number),
 	/** Steady time of the coordinator, milliseconds. */
@@ -69,12 +69,12 @@
 	/** Version of the coordinator's row in the store. */
 	dutyRevision: number,
 	/** Absent where the VM's heartbeat shows that it knows them. */
-	terms: optional(array(groupTerm)),
+	terms: optional(array(groupTermCodec)),
 	/** Whether the VM has to follow the store's configuration itself. */
 	isFollower: boolean,
 	/** Absent where the VM's heartbeat shows that it knows them. */
-	instances: optional(Codec.interface({revision: string, entries: array(instanceEntry)})),
-	positions: record(string, positionReport),
+	instances: optional(Codec.interface({revision: string, entries: array(instanceEntryCodec)})),
+	positions: record(string, positionReportCodec),
 	configurationVersion: number,
 	members: number,
 });
@@ -103,30 +103,30 @@
 });
 
 /** Asks a VM whether it reaches the store, or tells it to coordinate from now on: the sender has stopped. */
-export const offerCodec = Codec.interface({kind: exactly('offer'), step: oneOf([exactly('ask'), exactly('take-over')])});
+export const handOverOfferCodec = Codec.interface({kind: exactly('offer'), step: oneOf([exactly('ask'), exactly('take-over')])});
 
 /** Says that the sender reaches the store and can coordinate. */
-export const acceptanceCodec = Codec.interface({kind: exactly('acceptance'), vm: string, address: string});
+export const handOverAcceptanceCodec = Codec.interface({kind: exactly('acceptance'), vm: string, address: string});
 
-const messageCodec = oneOf([offerCodec, acceptanceCodec, heartbeatCodec, reportCodec, tokenRequestCodec, tokenGrantCodec, configurationRequestCodec, configurationReplyCodec, notCoordinatorCodec]);
+const messageCodec = oneOf([handOverOfferCodec, handOverAcceptanceCodec, heartbeatCodec, coordinatorReportCodec, tokenRequestCodec, tokenGrantCodec, configurationRequestCodec, configurationReplyCodec, notCoordinatorCodec]);
 
-export type GroupTermMessage = GetType<typeof groupTerm>;
-export type EvidenceReport = GetType<typeof evidenceReport>;
-export type PositionReport = GetType<typeof positionReport>;
+export type GroupTermMessage = GetType<typeof groupTermCodec>;
+export type EvidenceReport = GetType<typeof evidenceReportCodec>;
+export type PositionReport = GetType<typeof positionReportCodec>;
 export type TokenRequest = GetType<typeof tokenRequestCodec>;
 export type TokenGrantMessage = GetType<typeof tokenGrantCodec>;
-export type TokenWants = TokenRequest['wants'];
+export type TokenDemands = TokenRequest['wants'];
 export type TokenGrants = TokenGrantMessage['grants'];
 export type Heartbeat = GetType<typeof heartbeatCodec>;
-export type Report = GetType<typeof reportCodec>;
+export type CoordinatorReport = GetType<typeof coordinatorReportCodec>;
 export type ConfigurationReply = GetType<typeof configurationReplyCodec>;
 export type PeerMessage = GetType<typeof messageCodec>;
 
 const codecs: Readonly<Record<string, {decode: (input: unknown) => ReturnType<typeof messageCodec.decode>}>> = {
 	heartbeat: heartbeatCodec,
-	report: reportCodec,
-	offer: offerCodec,
-	acceptance: acceptanceCodec,
+	report: coordinatorReportCodec,
+	offer: handOverOfferCodec,
+	acceptance: handOverAcceptanceCodec,
 	'token-request': tokenRequestCodec,
 	'token-grant': tokenGrantCodec,
 	'configuration-request': configurationRequestCodec,
@@ -152,10 +152,10 @@
 }
 
 /** Steps in which times are sent, parts of a millisecond: far below every margin. */
-const stepsPerMs = 10;
+const roundingStepsPerMs = 10;
 
 function roundNumber(_key: string, value: unknown): unknown {
-	return typeof value === 'number' && !Number.isInteger(value) ? Math.round(value * stepsPerMs) / stepsPerMs : value;
+	return typeof value === 'number' && !Number.isInteger(value) ? Math.round(value * roundingStepsPerMs) / roundingStepsPerMs : value;
 }
 
 /** Writes one message between VMs as a line. */
--- a/packages/proxy/src/access/access-gate.ts
+++ b/packages/proxy/src/access/access-gate.ts
@@ -57,7 +57,7 @@
 		}
 
 		const identity = {account: '', keyHash: hashKey(key)};
-		const account = this.state.configuration.getAccountOfKey(identity.keyHash);
+		const account = this.state.configuration.getAccountByKeyHash(identity.keyHash);
 		return account === undefined ? Left(refusals.unknownKey()) : this.checkIdentity({...identity, account});
 	}
 
@@ -71,7 +71,7 @@
 			return Right(identity);
 		}
 
-		const account = this.state.configuration.getAccountOfKey(identity.keyHash);
+		const account = this.state.configuration.getAccountByKeyHash(identity.keyHash);
 		const isValid = account === identity.account && this.state.configuration.getAccount(identity.account) !== undefined;
 		return isValid ? Right(identity) : Left(refusals.unknownKey());
 	}
--- a/packages/proxy/src/configuration/configuration-keeper.ts
+++ b/packages/proxy/src/configuration/configuration-keeper.ts
@@ -1,5 +1,5 @@
 import {type Either, Left, Right} from 'purify-ts';
-import {type Freshness, getMajority} from '@chicorysaddle/decisions';
+import {type FreshnessTracker, getMajority} from '@chicorysaddle/decisions';
 import {
 	Configuration, type ConfigurationChange, type ParsedRow, type Refusal, refusals, type StoredRow,
 } from '@chicorysaddle/model';
@@ -33,7 +33,7 @@
 /** Parts that the keeper works with. */
 export type ConfigurationKeeperParts = {
 	readonly log: ConfigurationLog;
-	readonly freshness: Freshness;
+	readonly freshness: FreshnessTracker;
 	readonly membership: Membership;
 	readonly clock: Clock;
 	readonly logger: Logger;
@@ -68,7 +68,7 @@
 		const {version, snapshotVersion} = head.unsafeCoerce();
 		await this.#runInTurn(async () => this.#catchUpFromStore(version, snapshotVersion));
 		if (this.version >= version) {
-			this.parts.freshness.observeStoreWord(sentAt);
+			this.parts.freshness.observeStoreSync(sentAt);
 		}
 
 		return Right(version);
@@ -138,7 +138,7 @@
 
 	/** Asks every peer to take a change, and returns whether a majority of the voters knows it. */
 	async confirmVersion(changes: readonly ConfigurationChange[], version: number): Promise<boolean> {
-		const voters = this.current.getVoters();
+		const voters = this.current.getVoterNames();
 		const {membership, freshness} = this.parts;
 		const knowing = new Set(freshness.isSynchronized ? [membership.self.name] : []);
 		const isMajority = () => voters.filter(voter => knowing.has(voter)).length >= getMajority(voters.length);
@@ -196,7 +196,7 @@
 	/** Voters change one at a time, each time only after a majority knows the change before. */
 	async #checkVoterChange(rows: readonly ParsedRow[]): Promise<Either<Refusal, readonly ParsedRow[]>> {
 		const voterRows = rows.filter(row => row.kind === 'voter');
-		const isFirst = this.current.getVoters().length === 0;
+		const isFirst = this.current.getVoterNames().length === 0;
 		if (voterRows.length === 0 || isFirst) {
 			return Right(rows);
 		}
--- a/packages/proxy/src/groups/dispatcher.ts
+++ b/packages/proxy/src/groups/dispatcher.ts
@@ -1,6 +1,6 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {
-	FairQueue, type GroupState, type InstanceView, type Priority, type QueuePolicyName, type ReadChoice,
+	FairQueue, type GroupState, type InstanceView, type Priority, type QueuePolicy, type ReadChoice,
 } from '@chicorysaddle/decisions';
 import {type Refusal, refusals} from '@chicorysaddle/model';
 import {type Clock} from '../observability/index.js';
@@ -39,7 +39,7 @@
 	readonly #queue: FairQueue<Waiting>;
 	#timer: NodeJS.Timeout | undefined;
 
-	constructor(private readonly group: GroupState, private readonly getPool: (instance: string) => EndpointPool | undefined, private readonly clock: Clock, policy: QueuePolicyName) {
+	constructor(private readonly group: GroupState, private readonly getPool: (instance: string) => EndpointPool | undefined, private readonly clock: Clock, policy: QueuePolicy) {
 		this.#queue = new FairQueue(policy);
 	}
 
--- a/packages/proxy/src/groups/group-registry.ts
+++ b/packages/proxy/src/groups/group-registry.ts
@@ -1,6 +1,6 @@
 import {createHash} from 'node:crypto';
 import {type Configuration} from '@chicorysaddle/model';
-import {type QueuePolicyName} from '@chicorysaddle/decisions';
+import {type QueuePolicy} from '@chicorysaddle/decisions';
 import {type Clock} from '../observability/index.js';
 import {type EndpointConnector} from '../endpoints/index.js';
 import {Group} from './group.js';
@@ -37,7 +37,7 @@
 	readonly #dueSince = new Map<string, number>();
 	readonly #promoting = new Set<string>();
 
-	constructor(private readonly vm: string, private readonly connector: EndpointConnector, private readonly promoter: Promoter, private readonly clock: Clock, private readonly queuePolicy: QueuePolicyName) {}
+	constructor(private readonly vm: string, private readonly connector: EndpointConnector, private readonly promoter: Promoter, private readonly clock: Clock, private readonly queuePolicy: QueuePolicy) {}
 
 	getGroup(name: string): Group | undefined {
 		return this.#groups.get(name);
--- a/packages/proxy/src/groups/group.ts
+++ b/packages/proxy/src/groups/group.ts
@@ -1,6 +1,6 @@
 import {create} from '@bufbuild/protobuf';
 import {
-	FailureDetector, GroupState, type InstanceView, type QueuePolicyName,
+	FailureDetector, GroupState, type InstanceView, type QueuePolicy,
 } from '@chicorysaddle/decisions';
 import {type NamedEndpoint} from '@chicorysaddle/model';
 import {ProbeRequestSchema} from '@chicorysaddle/protocol';
@@ -38,7 +38,7 @@
 	readonly #lastProbed = new Map<string, number>();
 	readonly #examined = new Set<string>();
 
-	constructor(name: string, private readonly connector: EndpointConnector, private readonly clock: Clock, queuePolicy: QueuePolicyName) {
+	constructor(name: string, private readonly connector: EndpointConnector, private readonly clock: Clock, queuePolicy: QueuePolicy) {
 		this.state = new GroupState(name);
 		this.detector = new FailureDetector(this.state);
 		this.confirmer = new WriteConfirmer(this.state, instance => this.#pools.get(instance)?.control, clock);
--- a/packages/proxy/src/limits/lease-keeper.ts
+++ b/packages/proxy/src/limits/lease-keeper.ts
@@ -86,7 +86,7 @@
 	/** Renews the lease, or seeks it when it is vacant. */
 	async advance(): Promise<void> {
 		const now = this.clock.getNow();
-		const voters = this.configuration.current.getVoters();
+		const voters = this.configuration.current.getVoterNames();
 		const isRetiring = this.membership.isDraining && !this.isHeld(now);
 		if (!voters.includes(this.membership.self.name) || isRetiring) {
 			return;
@@ -109,7 +109,7 @@
 		const now = this.clock.getNow();
 		this.#predecessor = predecessor;
 		this.#candidate.observeTerm(term);
-		await this.#runRound(this.#candidate.startTakeOver(now), this.configuration.current.getVoters());
+		await this.#runRound(this.#candidate.startTakeOver(now), this.configuration.current.getVoterNames());
 		this.#predecessor = '';
 		return this.isHeld(this.clock.getNow());
 	}
--- a/packages/proxy/src/limits/limiter.ts
+++ b/packages/proxy/src/limits/limiter.ts
@@ -226,7 +226,7 @@
 	/** Returns the VM that ranks first for a lease. */
 	#findSuccessor(lease: string): string | undefined {
 		const {membership, configuration} = this.parts;
-		const voters = configuration.current.getVoters();
+		const voters = configuration.current.getVoterNames();
 		return rankVms(lease, membership.getLiveVms().filter(name => voters.includes(name)))[0];
 	}
 
--- a/packages/proxy/src/membership/exchange.ts
+++ b/packages/proxy/src/membership/exchange.ts
@@ -1,6 +1,6 @@
 import {type ExchangeRequest, type ExchangeResponse, type ExchangeResponseSchema} from '@chicorysaddle/protocol';
 import {type MessageInitShape} from '@bufbuild/protobuf';
-import {type Freshness} from '@chicorysaddle/decisions';
+import {type FreshnessTracker} from '@chicorysaddle/decisions';
 import {type Clock} from '../observability/index.js';
 import {type ConfigurationKeeper} from '../configuration/index.js';
 import {type GroupRegistry} from '../groups/index.js';
@@ -15,7 +15,7 @@
 export type ExchangeParts = {
 	readonly membership: Membership;
 	readonly configuration: ConfigurationKeeper;
-	readonly freshness: Freshness;
+	readonly freshness: FreshnessTracker;
 	readonly groups: GroupRegistry;
 	readonly leases: LeaseRegistry;
 	readonly clock: Clock;
@@ -37,7 +37,7 @@
 	askAboutFailures(): void {
 		const now = this.parts.clock.getNow();
 		for (const group of this.parts.groups.getGroups()) {
-			if (!group.isWatched || !group.detector.isSuspicious(now)) {
+			if (!group.isWatched || !group.detector.isPrimarySuspected(now)) {
 				continue;
 			}
 
@@ -86,7 +86,7 @@
 			incarnation: membership.self.incarnation,
 			configurationVersion: BigInt(configuration.version),
 			synchronized: freshness.isSynchronized,
-			storeWordAgeMs: roundAge(freshness.getStoreWordAgeMs(now)),
+			storeWordAgeMs: roundAge(freshness.getStoreSyncAgeMs(now)),
 			draining: membership.isDraining,
 			groups: groups.getGroups().filter(group => group.isWatched).map(group => ({
 				group: group.state.name,
@@ -105,7 +105,7 @@
 		}
 
 		if (response.incarnation !== peer.incarnation) {
-			freshness.removePeerWord(peer.name);
+			freshness.removePeer(peer.name);
 			peer.incarnation = response.incarnation;
 			peer.incarnationSince = sentAt;
 		}
@@ -125,11 +125,11 @@
 		}
 
 		if (response.synchronized) {
-			freshness.observePeerWord(peer.name, sentAt, configuration.current.getVoters());
+			freshness.observePeerSync(peer.name, sentAt, configuration.current.getVoterNames());
 		}
 
 		if (response.storeWordAgeMs !== undefined) {
-			freshness.observeStoreWord(sentAt - response.storeWordAgeMs);
+			freshness.observeStoreSync(sentAt - response.storeWordAgeMs);
 		}
 	}
 
@@ -144,8 +144,8 @@
 				group.observePrimary(Number(view.term), view.primary);
 			}
 
-			group.detector.observeWord({
-				vm: response.vm, term: Number(view.term), failingMs: view.failingMs, heardAt: sentAt,
+			group.detector.observeReport({
+				vm: response.vm, term: Number(view.term), failingMs: view.failingMs, requestedAt: sentAt,
 			});
 		}
 	}
--- a/packages/proxy/src/membership/peer.ts
+++ b/packages/proxy/src/membership/peer.ts
@@ -1,6 +1,6 @@
 import {type Client, createClient, type Interceptor} from '@connectrpc/connect';
 import {createConnectTransport, Http2SessionManager} from '@connectrpc/connect-node';
-import {createSessionOptions} from '@chicorysaddle/store';
+import {createHttp2SessionOptions} from '@chicorysaddle/store';
 import {PeerService} from '@chicorysaddle/protocol';
 
 /** Header in which proxies show one another their secret. */
@@ -38,7 +38,7 @@
 			return next(request);
 		};
 
-		this.#sessions = new Http2SessionManager(baseUrl, {idleConnectionTimeoutMs: 60_000}, createSessionOptions(options.sourceAddress));
+		this.#sessions = new Http2SessionManager(baseUrl, {idleConnectionTimeoutMs: 60_000}, createHttp2SessionOptions(options.sourceAddress));
 		this.client = createClient(PeerService, createConnectTransport({
 			baseUrl, httpVersion: '2', sessionManager: this.#sessions, interceptors: [addSecret], useBinaryFormat: true,
 		}));
--- a/packages/proxy/src/membership/voter-keeper.ts
+++ b/packages/proxy/src/membership/voter-keeper.ts
@@ -18,7 +18,7 @@
 	/** Adds this VM to the voters, or removes one that is gone. */
 	async advance(): Promise<void> {
 		const {name} = this.membership.self;
-		const voters = this.configuration.current.getVoters();
+		const voters = this.configuration.current.getVoterNames();
 		this.#observeMissing(voters);
 		if (this.configuration.version === 0 || this.membership.isDraining) {
 			return;
--- a/packages/proxy/src/requests/claim-registry.ts
+++ b/packages/proxy/src/requests/claim-registry.ts
@@ -61,7 +61,7 @@
 
 function judgeClaim(known: z.infer<typeof claimSchema>, bodyHash: string, claimId: string, idempotencyKey: string): Either<Refusal, void> {
 	if (known.bodyHash !== bodyHash) {
-		return Left(refusals.mismatch(idempotencyKey));
+		return Left(refusals.requestMismatch(idempotencyKey));
 	}
 
 	return known.claimId === claimId ? Right(undefined) : Left(refusals.outcomeUnknown('the request was sent before'));
--- a/packages/proxy/src/requests/read-runner.ts
+++ b/packages/proxy/src/requests/read-runner.ts
@@ -1,7 +1,7 @@
 import {create} from '@bufbuild/protobuf';
 import {type Either, Left, Right} from 'purify-ts';
 import {type ExecuteResponse, ExecuteRequestSchema, Outcome} from '@chicorysaddle/protocol';
-import {getRetryDelayMs, type SessionMark} from '@chicorysaddle/decisions';
+import {getRetryDelayMs, type SessionWatermark} from '@chicorysaddle/decisions';
 import {
 	isAtLeast, type Refusal, refusals, type Route,
 } from '@chicorysaddle/model';
@@ -20,7 +20,7 @@
 	readonly parameters: Readonly<Record<string, string>>;
 	readonly caller: CallerIdentity;
 	readonly weight: number;
-	readonly mark: SessionMark;
+	readonly mark: SessionWatermark;
 	/** Age of data that the read accepts; zero asks for none in particular. */
 	readonly maxStalenessMs: number;
 };
@@ -54,7 +54,7 @@
 			}
 
 			tried.add(held.instance.name);
-			if (!result.isEndpointRefusal && !retryBudget.takeRetry()) {
+			if (!result.isEndpointRefusal && !retryBudget.acquireRetry()) {
 				return Left(refusals.overloaded(read.group.state.name, getRetryDelayMs(attempt, this.parts.getRandom())));
 			}
 
--- a/packages/proxy/src/requests/request-runner.ts
+++ b/packages/proxy/src/requests/request-runner.ts
@@ -102,14 +102,14 @@
 			route, group, caller,
 			parameters: request.parameters,
 			weight: this.#getWeight(caller),
-			mark: session.getMark(route.group),
+			mark: session.getWatermark(route.group),
 			maxStalenessMs: request.acceptedStalenessMs || route.stalenessMs,
 		}, context);
 	}
 
 	async #runWrite(request: RouteRequest, {route, group, caller}: CheckedRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
 		const {configuration, claims} = this.parts;
-		const requestClass = getRequestClass('write', route.repeatable, configuration.current.isRecordingGroup(route.group));
+		const requestClass = getRequestClass('write', route.repeatable, configuration.current.isRecordingRequestIds(route.group));
 		const bodyHash = hashBody(request.route, request.parameters);
 		const recordId = getRecordId(caller.account, context.idempotencyKey || this.parts.createId());
 		if (requestClass === 'unrecorded-write' && context.idempotencyKey !== '') {
@@ -131,7 +131,7 @@
 		return result.bimap(
 			refusal => {
 				metrics.addCount(`refused_kind.${refusal.kind}`);
-				if (route.access === 'read' || refusal.isNotRun) {
+				if (route.access === 'read' || refusal.hasNotRun) {
 					return {refusal, session: ''};
 				}
 
@@ -140,7 +140,7 @@
 			},
 			answer => {
 				metrics.addCount(`served.${answer.servedBy}`);
-				session.observe(route.group, answer.position, answer.servedBy === 'primary');
+				session.observePosition(route.group, answer.position, answer.servedBy === 'primary');
 				return {answer, session: sessions.formatToken(session, caller.account)};
 			},
 		);
--- a/packages/proxy/src/requests/write-runner.ts
+++ b/packages/proxy/src/requests/write-runner.ts
@@ -123,7 +123,7 @@
 		}
 
 		if (response.outcome === Outcome.RECORD_MISMATCH) {
-			return {kind: 'refused', refusal: refusals.mismatch(context.idempotencyKey)};
+			return {kind: 'refused', refusal: refusals.requestMismatch(context.idempotencyKey)};
 		}
 
 		if (response.outcome === Outcome.BAD_STATEMENT) {
@@ -165,7 +165,7 @@
 			return refusals.deadlineNotRun();
 		}
 
-		if (stage !== 'refused-by-endpoint' && stage !== 'unsent' && !retryBudget.takeRetry()) {
+		if (stage !== 'refused-by-endpoint' && stage !== 'unsent' && !retryBudget.acquireRetry()) {
 			return refusals.overloaded(write.group.state.name, delayMs);
 		}
 
@@ -176,7 +176,7 @@
 	/** "Not run" is said only when no sending of the write can have run. */
 	#giveUp(write: WriteRequest, stages: readonly RequestStage[], refusal: Refusal): Either<Refusal, Answer> {
 		const mayHaveRun = getFinalDecision(stages, write.requestClass) === 'refuse-unknown';
-		if (!mayHaveRun || !refusal.isNotRun) {
+		if (!mayHaveRun || !refusal.hasNotRun) {
 			return Left(refusal);
 		}
 
@@ -196,5 +196,5 @@
 		return {kind: 'none'};
 	}
 
-	return primary.hasRoom ? {kind: 'send', instance: primary, waitMs: 0} : {kind: 'wait'};
+	return primary.hasCapacity ? {kind: 'send', instance: primary, waitMs: 0} : {kind: 'wait'};
 }
--- a/packages/proxy/src/services/connect-error.ts
+++ b/packages/proxy/src/services/connect-error.ts
@@ -24,7 +24,7 @@
  * @param session - Session token to use from now on, empty for no change.
  */
 export function formatRefusal(refusal: Refusal, session = ''): ConnectError {
-	const {answer} = refusal;
+	const {details: answer} = refusal;
 	const metadata = new Headers({'chicorysaddle-refusal': refusal.kind, 'chicorysaddle-ran': answer.ran});
 	if (answer.retryable) {
 		metadata.set('retry-after', String(Math.max(1, Math.ceil(refusal.retryAfterMs / msPerSecond))));
--- a/packages/proxy/src/services/operator-service.ts
+++ b/packages/proxy/src/services/operator-service.ts
@@ -5,7 +5,7 @@
 import {
 	type ApplyChangeRequest, type ApplyChangeResponseSchema, type GetInForceResponseSchema, type GetStatusResponseSchema, OperatorService,
 } from '@chicorysaddle/protocol';
-import {type Freshness} from '@chicorysaddle/decisions';
+import {type FreshnessTracker} from '@chicorysaddle/decisions';
 import {getBearerToken, hashKey, isSameHash} from '../access/index.js';
 import {type ConfigurationKeeper, formatChange} from '../configuration/index.js';
 import {type GroupRegistry} from '../groups/index.js';
@@ -18,7 +18,7 @@
 export type OperatorServiceParts = {
 	readonly membership: Membership;
 	readonly configuration: ConfigurationKeeper;
-	readonly freshness: Freshness;
+	readonly freshness: FreshnessTracker;
 	readonly groups: GroupRegistry;
 	readonly leases: LeaseRegistry;
 	readonly limiter: Limiter;
@@ -76,7 +76,7 @@
 
 function describeInForce({membership, configuration, freshness, clock}: OperatorServiceParts, version: number): MessageInitShape<typeof GetInForceResponseSchema> {
 	const now = clock.getNow();
-	const isOwnInForce = configuration.version >= version && freshness.isFresh(configuration.current.getVoters(), now);
+	const isOwnInForce = configuration.version >= version && freshness.isFresh(configuration.current.getVoterNames(), now);
 	const isInForce = (peer: Peer) => peer.configurationVersion >= version && membership.isLive(peer, now);
 	const {peers} = membership;
 	const ownName = membership.self.name;
@@ -100,7 +100,7 @@
 		membership, configuration, freshness, groups, leases, limiter, clock, metrics,
 	} = parts;
 	const now = clock.getNow();
-	const ageMs = freshness.getAgeMs(configuration.current.getVoters(), now);
+	const ageMs = freshness.getAgeMs(configuration.current.getVoterNames(), now);
 	return {
 		vm: membership.self.name,
 		incarnation: membership.self.incarnation,
--- a/packages/proxy/src/services/peer-service.ts
+++ b/packages/proxy/src/services/peer-service.ts
@@ -3,7 +3,7 @@
 } from '@connectrpc/connect';
 import {type MessageInitShape} from '@bufbuild/protobuf';
 import {type ForwardRequest, type ForwardResponseSchema, PeerService} from '@chicorysaddle/protocol';
-import {type Freshness} from '@chicorysaddle/decisions';
+import {type FreshnessTracker} from '@chicorysaddle/decisions';
 import {hashKey, isSameHash} from '../access/index.js';
 import {type ConfigurationKeeper, parseChange} from '../configuration/index.js';
 import {
@@ -18,7 +18,7 @@
 	readonly membership: Membership;
 	readonly exchange: Exchange;
 	readonly configuration: ConfigurationKeeper;
-	readonly freshness: Freshness;
+	readonly freshness: FreshnessTracker;
 	readonly leases: LeaseRegistry;
 	readonly limiter: Limiter;
 	readonly handlers: CallerHandlers;
--- a/packages/proxy/src/sessions/session-token.ts
+++ b/packages/proxy/src/sessions/session-token.ts
@@ -33,7 +33,7 @@
 			return '';
 		}
 
-		const marks = [...session.getMarks()].map(([group, mark]) => [group, mark.position.term, mark.position.offset, mark.primaryOnly ? 1 : 0]);
+		const marks = [...session.getWatermarks()].map(([group, mark]) => [group, mark.position.term, mark.position.offset, mark.primaryOnly ? 1 : 0]);
 		const payload = Buffer.from(JSON.stringify({a: account, m: marks}));
 		return Buffer.concat([signPayload(payload, secret), payload]).toString('base64url');
 	}
--- a/packages/proxy/src/transactions/transaction-runner.ts
+++ b/packages/proxy/src/transactions/transaction-runner.ts
@@ -117,7 +117,7 @@
 		this.parts.registry.removeTransaction(transaction, committed.isRight());
 		return committed.bimap(
 			refusal => {
-				if (refusal.isNotRun) {
+				if (refusal.hasNotRun) {
 					return {refusal, session: ''};
 				}
 
@@ -125,7 +125,7 @@
 				return {refusal, session: sessions.formatToken(session, account)};
 			},
 			answer => {
-				session.observe(transaction.groupName, answer.position, true);
+				session.observePosition(transaction.groupName, answer.position, true);
 				return {answer, session: sessions.formatToken(session, account)};
 			},
 		);
@@ -217,7 +217,7 @@
 
 		const answer = response.unsafeCoerce();
 		if (answer.outcome !== Outcome.DONE) {
-			return Left(answer.outcome === Outcome.RECORD_MISMATCH ? refusals.mismatch(context.idempotencyKey) : refusals.transactionLost(transaction.id));
+			return Left(answer.outcome === Outcome.RECORD_MISMATCH ? refusals.requestMismatch(context.idempotencyKey) : refusals.transactionLost(transaction.id));
 		}
 
 		const position = parsePosition(answer.position);
--- a/packages/proxy/src/wiring/container.ts
+++ b/packages/proxy/src/wiring/container.ts
@@ -1,7 +1,7 @@
 import {randomBytes} from 'node:crypto';
 import 'reflect-metadata';
 import {Container, type ServiceIdentifier} from 'inversify';
-import {Freshness, ReadRouter, RetryBudget} from '@chicorysaddle/decisions';
+import {FreshnessTracker, ReadRouter, RetryBudget} from '@chicorysaddle/decisions';
 import {ConfigurationLog, PlatformClient} from '@chicorysaddle/store';
 import {AccessGate} from '../access/index.js';
 import {ConfigurationKeeper} from '../configuration/index.js';
@@ -53,13 +53,13 @@
 function bindState(container: Container, settings: Settings, peerAddress: string): void {
 	const sourceAddress = settings.vm.source_address;
 	container.bind(PlatformClient).toDynamicValue(() => new PlatformClient({address: settings.platform.address, timeoutMs: settings.platform.timeout_ms, sourceAddress})).inSingletonScope();
-	container.bind(Freshness).toDynamicValue(context => new Freshness(settings.vm.name, settings.timeouts.freshness_ms, context.get(partNames.clock).getNow())).inSingletonScope();
+	container.bind(FreshnessTracker).toDynamicValue(context => new FreshnessTracker(settings.vm.name, settings.timeouts.freshness_ms, context.get(partNames.clock).getNow())).inSingletonScope();
 	container.bind(Membership).toDynamicValue(context => new Membership({
 		name: settings.vm.name, zone: settings.vm.zone, address: peerAddress, incarnation: randomBytes(incarnationBytes).toString('hex'),
 	}, context.get(PlatformClient), {secret: settings.peers.secret, sourceAddress}, context.get(partNames.clock))).inSingletonScope();
 	container.bind(ConfigurationKeeper).toDynamicValue(context => new ConfigurationKeeper({
 		log: new ConfigurationLog(context.get(PlatformClient), context.get(PlatformClient)),
-		freshness: context.get(Freshness),
+		freshness: context.get(FreshnessTracker),
 		membership: context.get(Membership),
 		clock: context.get(partNames.clock),
 		logger: context.get(Logger),
@@ -67,12 +67,12 @@
 	container.bind(VoterKeeper).toDynamicValue(context => new VoterKeeper(context.get(ConfigurationKeeper), context.get(Membership), context.get(partNames.clock))).inSingletonScope();
 	container.bind(AccessGate).toDynamicValue(context => {
 		const configuration = context.get(ConfigurationKeeper).current;
-		const freshness = context.get(Freshness);
+		const freshness = context.get(FreshnessTracker);
 		const clock = context.get(partNames.clock);
 		return new AccessGate({
 			configuration,
-			isFresh: () => freshness.isFresh(configuration.getVoters(), clock.getNow()),
-			getAgeMs: () => freshness.getAgeMs(configuration.getVoters(), clock.getNow()),
+			isFresh: () => freshness.isFresh(configuration.getVoterNames(), clock.getNow()),
+			getAgeMs: () => freshness.getAgeMs(configuration.getVoterNames(), clock.getNow()),
 		});
 	}).inSingletonScope();
 }
@@ -102,7 +102,7 @@
 	container.bind(Exchange).toDynamicValue(context => new Exchange({
 		membership: context.get(Membership),
 		configuration: context.get(ConfigurationKeeper),
-		freshness: context.get(Freshness),
+		freshness: context.get(FreshnessTracker),
 		groups: context.get(GroupRegistry),
 		leases: context.get(LeaseRegistry),
 		clock: context.get(partNames.clock),
--- a/packages/proxy/src/wiring/proxy.ts
+++ b/packages/proxy/src/wiring/proxy.ts
@@ -1,6 +1,6 @@
 import {type Container} from 'inversify';
 import {connectNodeAdapter} from '@connectrpc/connect-node';
-import {Freshness} from '@chicorysaddle/decisions';
+import {FreshnessTracker} from '@chicorysaddle/decisions';
 import {PlatformClient} from '@chicorysaddle/store';
 import {AccessGate} from '../access/index.js';
 import {ConfigurationKeeper} from '../configuration/index.js';
@@ -121,7 +121,7 @@
 			membership: this.#get(Membership),
 			exchange: this.#get(Exchange),
 			configuration: this.#get(ConfigurationKeeper),
-			freshness: this.#get(Freshness),
+			freshness: this.#get(FreshnessTracker),
 			groups: this.#get(GroupRegistry),
 			leases: this.#get(LeaseRegistry),
 			limiter: this.#get(Limiter),
@@ -160,7 +160,7 @@
 		const gate = this.#get(AccessGate);
 		const registry = this.#get(TransactionRegistry);
 		const configureGroups = () => {
-			groups.configure(configuration.current, membership.getVms(), membership.countSharers(configuration.current.getVoters()));
+			groups.configure(configuration.current, membership.getVms(), membership.countSharers(configuration.current.getVoterNames()));
 		};
 
 		const sweep = () => {
--- a/packages/store/src/client/session-options.ts
+++ b/packages/store/src/client/http2-session-options.ts
@@ -4,7 +4,7 @@
  * Returns options for connections that come from one IP number.
  * @param sourceAddress - IP number; any where absent.
  */
-export function createSessionOptions(sourceAddress: string | undefined): SecureClientSessionOptions | undefined {
+export function createHttp2SessionOptions(sourceAddress: string | undefined): SecureClientSessionOptions | undefined {
 	if (sourceAddress === undefined) {
 		return undefined;
 	}
--- a/packages/store/src/client/index.ts
+++ b/packages/store/src/client/index.ts
@@ -1,2 +1,2 @@
 export * from './platform-client.js';
-export * from './session-options.js';
+export * from './http2-session-options.js';
--- a/packages/store/src/client/platform-client.ts
+++ b/packages/store/src/client/platform-client.ts
@@ -8,7 +8,7 @@
 import {
 	type CompareAndSetResult, type ConditionalWrite, type ListedVm, type ObjectStore, type Table, type TableRow, type VmList,
 } from '../ports/index.js';
-import {createSessionOptions} from './session-options.js';
+import {createHttp2SessionOptions} from './http2-session-options.js';
 
 /** Where the platform is and how long to wait for it. */
 export type PlatformClientOptions = {
@@ -43,7 +43,7 @@
 
 	constructor(private readonly options: PlatformClientOptions) {
 		const baseUrl = `http://${options.address}`;
-		const sessionOptions = createSessionOptions(options.sourceAddress);
+		const sessionOptions = createHttp2SessionOptions(options.sourceAddress);
 		this.#sessions = new Http2SessionManager(baseUrl, {}, sessionOptions);
 		const transport = createConnectTransport({
 			baseUrl, httpVersion: '2', useBinaryFormat: true, sessionManager: this.#sessions,
--- a/packages/store/src/configuration/configuration-log.ts
+++ b/packages/store/src/configuration/configuration-log.ts
@@ -25,7 +25,7 @@
 export type ConfigurationSnapshot = {readonly version: number; readonly rows: readonly StoredRow[]};
 
 /** Outcome of writing a change. */
-export type WriteResult =
+export type ChangeWriteResult =
 	| {readonly kind: 'written'}
 	/** Another change took the version. */
 	| {readonly kind: 'conflict'; readonly change: ConfigurationChange};
@@ -40,7 +40,7 @@
 	/** Reads the newest version. */
 	async readHead(): Promise<Either<Refusal, ConfigurationHead>> {
 		const rows = await this.table.readRows([headKey]);
-		return rows.chain(([row]) => parseHead(row));
+		return rows.chain(([row]) => parseHeadRow(row));
 	}
 
 	/** Reads the change that made a version. */
@@ -68,8 +68,8 @@
 	 * @param change - Change whose version is one past the head's.
 	 * @param snapshot - Snapshot to name in the head, where one is due.
 	 */
-	async writeChange(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, WriteResult>> {
-		const put = await this.#putBodies(change, snapshot);
+	async writeChange(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, ChangeWriteResult>> {
+		const put = await this.#writeBodies(change, snapshot);
 		const head = put.isLeft() ? (put as unknown as Either<Refusal, ConfigurationHead>) : await this.readHead();
 		if (head.isLeft()) {
 			return head;
@@ -77,7 +77,7 @@
 
 		const current = head.unsafeCoerce();
 		if (current.version !== change.version - 1) {
-			return this.#settle(change);
+			return this.#resolveWriteOutcome(change);
 		}
 
 		const written = await this.table.compareAndSet([
@@ -89,11 +89,11 @@
 			{key: getChangeKey(change.version), expectedVersion: 0, value: JSON.stringify({writeId: change.writeId})},
 		]);
 		const isApplied = written.map(result => result.applied).orDefault(false);
-		return isApplied ? Right({kind: 'written'}) : this.#settle(change);
+		return isApplied ? Right({kind: 'written'}) : this.#resolveWriteOutcome(change);
 	}
 
 	/** Finds out which write took a version. */
-	async #settle(change: ConfigurationChange): Promise<Either<Refusal, WriteResult>> {
+	async #resolveWriteOutcome(change: ConfigurationChange): Promise<Either<Refusal, ChangeWriteResult>> {
 		const head = await this.readHead();
 		if (head.isLeft()) {
 			return head;
@@ -107,7 +107,7 @@
 		return taken.map(other => (other.writeId === change.writeId ? {kind: 'written'} : {kind: 'conflict', change: other}));
 	}
 
-	async #putBodies(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, void>> {
+	async #writeBodies(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, void>> {
 		const put = await this.objects.putObject(getBodyKey(change.writeId), encodeJson(change));
 		return put.isLeft() || snapshot === undefined ? put : this.objects.putObject(getSnapshotKey(snapshot.version), encodeJson(snapshot));
 	}
@@ -136,7 +136,7 @@
 	return new TextEncoder().encode(JSON.stringify(value));
 }
 
-function parseHead(row: TableRow | undefined): Either<Refusal, ConfigurationHead> {
+function parseHeadRow(row: TableRow | undefined): Either<Refusal, ConfigurationHead> {
 	return row === undefined || row.version === 0
 		? Right({version: 0, snapshotVersion: 0, rowVersion: 0})
 		: parseJson(headSchema, row.value, headKey).map(head => ({...head, rowVersion: row.version}));
--- a/packages/testkit/src/capacity/main.ts
+++ b/packages/testkit/src/capacity/main.ts
@@ -1,6 +1,6 @@
 import process from 'node:process';
 import {
-	AdmissionControl, type DemandReport, Freshness, ShareAllocator,
+	AdmissionControl, type DemandReport, FreshnessTracker, ShareAllocator,
 } from '@chicorysaddle/decisions';
 import {Configuration, formatRow, type StoredRow} from '@chicorysaddle/model';
 import {Cluster, readCpuMs} from '../cluster/index.js';
@@ -112,9 +112,9 @@
 
 function measureFreshness(): Slope[] {
 	const voters = Array.from({length: 2700}, (_, index) => `vm-${index}`);
-	const freshness = new Freshness('vm-0', 2500, 0);
+	const freshness = new FreshnessTracker('vm-0', 2500, 0);
 	for (const voter of voters) {
-		freshness.observePeerWord(voter, 10, []);
+		freshness.observePeerSync(voter, 10, []);
 	}
 
 	return [{
