--- a/packages/decisions/src/leases/timed-lease.ts
+++ b/packages/decisions/src/leases/dual-clock-lease.ts
@@ -1,17 +1,17 @@
 /** A moment on both clocks of a VM, milliseconds. */
-export type Moment = {
+export type ClockReading = {
 	/** Steady clock; it stands still while a VM is suspended. */
-	readonly steady: number;
+	readonly monotonicMs: number;
 	/** Time of day; it may jump, and counts suspensions. */
-	readonly wall: number;
+	readonly wallMs: number;
 };
 
 /**
  * A right to act until a time after its last confirmation.
  * It ends when either clock says so: a jump of the time of day can only end it early.
  */
-export class TimedLease {
-	#confirmedAt: Moment | undefined;
+export class DualClockLease {
+	#renewedAt: ClockReading | undefined;
 
 	/** @param durationMs - Time for which a confirmation holds. */
 	constructor(readonly durationMs: number) {}
@@ -20,28 +20,28 @@
 	 * Takes in a confirmation.
 	 * @param at - Moment at which the confirmation was asked for.
 	 */
-	confirm(at: Moment): void {
-		if (this.#confirmedAt === undefined || at.steady > this.#confirmedAt.steady) {
-			this.#confirmedAt = at;
+	renew(at: ClockReading): void {
+		if (this.#renewedAt === undefined || at.monotonicMs > this.#renewedAt.monotonicMs) {
+			this.#renewedAt = at;
 		}
 	}
 
-	isHeld(now: Moment): boolean {
+	isHeld(now: ClockReading): boolean {
 		return this.getRemainingMs(now) > 0;
 	}
 
 	/** Returns the time that is left by the stricter of both clocks. */
-	getRemainingMs(now: Moment): number {
-		if (this.#confirmedAt === undefined || now.wall < this.#confirmedAt.wall) {
+	getRemainingMs(now: ClockReading): number {
+		if (this.#renewedAt === undefined || now.wallMs < this.#renewedAt.wallMs) {
 			return 0;
 		}
 
-		const elapsed = Math.max(now.steady - this.#confirmedAt.steady, now.wall - this.#confirmedAt.wall);
+		const elapsed = Math.max(now.monotonicMs - this.#renewedAt.monotonicMs, now.wallMs - this.#renewedAt.wallMs);
 		return Math.max(0, this.durationMs - elapsed);
 	}
 
 	/** Ends the lease at once. */
-	end(): void {
-		this.#confirmedAt = undefined;
+	release(): void {
+		this.#renewedAt = undefined;
 	}
 }
--- a/packages/decisions/src/leases/index.ts
+++ b/packages/decisions/src/leases/index.ts
@@ -1,3 +1,3 @@
 export * from './lease-voter.js';
 export * from './lease-candidate.js';
-export * from './timed-lease.js';
+export * from './dual-clock-lease.js';
--- a/packages/decisions/src/leases/lease-candidate.ts
+++ b/packages/decisions/src/leases/lease-candidate.ts
@@ -22,7 +22,7 @@
 	#term = 0;
 	#heldUntil = Number.NEGATIVE_INFINITY;
 	#round: LeaseRound | undefined;
-	#promises = new Set<string>();
+	#promisedVoters = new Set<string>();
 	#nextAttemptAt = Number.NEGATIVE_INFINITY;
 	#vacantSince: number | undefined;
 
@@ -47,7 +47,7 @@
 	}
 
 	/** Says whether there may be a round to start. */
-	isDue(now: number): boolean {
+	isRoundDue(now: number): boolean {
 		return now >= this.#nextAttemptAt && (this.isHeld(now) || this.#vacantSince !== undefined);
 	}
 
@@ -68,7 +68,7 @@
 		}
 
 		this.#nextAttemptAt = now + this.timing.renewalMs;
-		this.#promises = new Set();
+		this.#promisedVoters = new Set();
 		this.#round = {term: this.#term, sentAt: now};
 		return this.#round;
 	}
@@ -82,8 +82,8 @@
 			return false;
 		}
 
-		this.#promises.add(voter);
-		if (this.#promises.size !== getMajority(voters.length)) {
+		this.#promisedVoters.add(voter);
+		if (this.#promisedVoters.size !== getMajority(voters.length)) {
 			return false;
 		}
 
@@ -99,7 +99,7 @@
 	}
 
 	/** Starts a round at once, whatever was refused before: the holder itself has offered the lease. */
-	startTakeOver(now: number): LeaseRound {
+	startTakeoverRound(now: number): LeaseRound {
 		this.#nextAttemptAt = now;
 		this.#vacantSince = now;
 		return this.startRound(0, now)!;
@@ -111,7 +111,7 @@
 	}
 
 	/** Ends the lease at once. */
-	abandon(now: number): void {
+	releaseLease(now: number): void {
 		this.#heldUntil = now;
 		this.#round = undefined;
 	}
--- a/packages/decisions/src/leases/lease-voter.ts
+++ b/packages/decisions/src/leases/lease-voter.ts
@@ -18,7 +18,7 @@
 };
 
 /** Allowance for clocks that run at different speeds, as a share of a duration. */
-export const clockDriftShare = 0.01;
+export const maxClockDriftFraction = 0.01;
 
 /**
  * Promises a lease to one holder at a time.
@@ -27,17 +27,17 @@
 export class LeaseVoter {
 	#holder = '';
 	#term = 0;
-	#until = Number.NEGATIVE_INFINITY;
+	#promisedUntil = Number.NEGATIVE_INFINITY;
 
 	/**
 	 * @param startedAt - Time at which this process started.
-	 * @param longestLeaseMs - Longest duration that any candidate asks for.
+	 * @param maxLeaseMs - Longest duration that any candidate asks for.
 	 */
-	constructor(private readonly startedAt: number, private readonly longestLeaseMs: number) {}
+	constructor(private readonly startedAt: number, private readonly maxLeaseMs: number) {}
 
 	/** Returns the holder of the promise in force, empty for none. */
 	getHolder(now: number): string {
-		return now < this.#until ? this.#holder : '';
+		return now < this.#promisedUntil ? this.#holder : '';
 	}
 
 	get term(): number {
@@ -45,35 +45,35 @@
 	}
 
 	/** Promises the lease, or says who holds it. */
-	promise(request: PromiseRequest, now: number): PromiseAnswer {
-		const quietMs = this.startedAt + (this.longestLeaseMs * (1 + clockDriftShare)) - now;
+	handlePromiseRequest(request: PromiseRequest, now: number): PromiseAnswer {
+		const quietMs = this.startedAt + (this.maxLeaseMs * (1 + maxClockDriftFraction)) - now;
 		if (quietMs > 0) {
 			return {
 				promised: false, holder: '', term: this.#term, remainingMs: quietMs,
 			};
 		}
 
-		const isTaken = now < this.#until && this.#holder !== request.holder && this.#holder !== request.predecessor;
+		const isTaken = now < this.#promisedUntil && this.#holder !== request.holder && this.#holder !== request.predecessor;
 		if (isTaken) {
-			return this.#describe(false, now);
+			return this.#createResponse(false, now);
 		}
 
 		this.#holder = request.holder;
 		this.#term = Math.max(this.#term, request.term);
-		this.#until = now + (Math.min(request.durationMs, this.longestLeaseMs) * (1 + clockDriftShare));
-		return this.#describe(true, now);
+		this.#promisedUntil = now + (Math.min(request.durationMs, this.maxLeaseMs) * (1 + maxClockDriftFraction));
+		return this.#createResponse(true, now);
 	}
 
 	/** Ends the promise to a holder that has given the lease up. */
 	release(holder: string): void {
 		if (this.#holder === holder) {
-			this.#until = Number.NEGATIVE_INFINITY;
+			this.#promisedUntil = Number.NEGATIVE_INFINITY;
 		}
 	}
 
-	#describe(promised: boolean, now: number): PromiseAnswer {
+	#createResponse(promised: boolean, now: number): PromiseAnswer {
 		return {
-			promised, holder: this.getHolder(now), term: this.#term, remainingMs: Math.max(0, this.#until - now),
+			promised, holder: this.getHolder(now), term: this.#term, remainingMs: Math.max(0, this.#promisedUntil - now),
 		};
 	}
 }
--- a/packages/decisions/src/limits/share-allocator.ts
+++ b/packages/decisions/src/limits/share-allocator.ts
@@ -1,8 +1,8 @@
 import {type AccountLimits} from '@chicorysaddle/model';
-import {clockDriftShare} from '../leases/lease-voter.js';
+import {maxClockDriftFraction} from '../leases/lease-voter.js';
 import {
 	type AccountDemand, type AccountShare, type AllocatorState, type DemandReport, type LimitsLookup, type ShareGrant,
-} from './account-demand.js';
+} from './share-messages.js';
 
 type Fractions = {readonly rate: number; readonly burst: number};
 
@@ -12,7 +12,7 @@
 	readonly fractions: Map<string, Fractions>;
 };
 
-type HolderRecord = {
+type HolderState = {
 	grants: IssuedGrant[];
 	demand: Map<string, number>;
 	waiting: Map<string, number>;
@@ -25,27 +25,27 @@
 	/** Time that a grant may be used, in milliseconds. */
 	readonly validMs: number;
 	/** Largest part of a rate that is handed out; the rest fills the pool. */
-	readonly localRateShare: number;
+	readonly maxLocalRateFraction: number;
 	/** Part of a VM's own demand that its rate covers; it asks the pool for the rest. */
-	readonly coveredDemand: number;
+	readonly coveredDemandFraction: number;
 	/** Time for which a VM may hold tokens ahead of its demand, in milliseconds. */
-	readonly holdMs: number;
+	readonly prefetchMs: number;
 	/** Largest part of a burst that is set aside for what local rates bring in. */
-	readonly localBurstShare: number;
+	readonly maxLocalBurstFraction: number;
 	/** Time for which local rates have room, in milliseconds. */
-	readonly roomMs: number;
+	readonly localBufferMs: number;
 };
 
 export const defaultAllocatorOptions: AllocatorOptions = {
-	validMs: 2000, localRateShare: 0.85, coveredDemand: 0.95, holdMs: 300, localBurstShare: 0.35, roomMs: 400,
+	validMs: 2000, maxLocalRateFraction: 0.85, coveredDemandFraction: 0.95, prefetchMs: 300, maxLocalBurstFraction: 0.35, localBufferMs: 400,
 };
 
-const noFractions: Fractions = {rate: 0, burst: 0};
-const smallest = 1e-9;
+const zeroFractions: Fractions = {rate: 0, burst: 0};
+const epsilon = 1e-9;
 /** Tokens that a VM's part of a burst has to have room for, before it gets a rate of its own. */
-const leastRoom = 4;
+const minLocalBurstTokens = 4;
 /** Longest time that a refusal names, in milliseconds. */
-const longestEstimateMs = 60_000;
+const maxNextTokenMs = 60_000;
 
 /**
  * Divides the rate and burst of every client account between the VMs and a pool.
@@ -53,7 +53,7 @@
  * so the fractions in use never add up to more than one.
  */
 export class ShareAllocator {
-	readonly #holders = new Map<string, HolderRecord>();
+	readonly #holders = new Map<string, HolderState>();
 	readonly #pools = new Map<string, Pool>();
 	#sequence = 0;
 
@@ -75,9 +75,9 @@
 		this.#removeExpired(now);
 		const holder = this.#getHolder(id);
 		// The pools fill at what was in use until now, before this report confirms less.
-		this.#fillPools(holder, report.accounts.map(demand => demand.account), now);
+		this.#refillPools(holder, report.accounts.map(demand => demand.account), now);
 		holder.grants = holder.grants.filter(grant => grant.sequence === report.appliedSequence);
-		this.#observeDemand(holder, report);
+		this.#recordDemand(holder, report);
 
 		this.#sequence += 1;
 		const validMs = Math.max(0, Math.min(this.options.validMs, usableUntil - now));
@@ -87,14 +87,14 @@
 			fractions.set(share.account, {rate: share.rateFraction, burst: share.burstFraction});
 		}
 
-		holder.grants.push({sequence: this.#sequence, expiresAt: now + (validMs * (1 + clockDriftShare)), fractions});
+		holder.grants.push({sequence: this.#sequence, expiresAt: now + (validMs * (1 + maxClockDriftFraction)), fractions});
 		return {sequence: this.#sequence, validMs, accounts};
 	}
 
 	/** Writes down everything that a successor has to know; this allocator grants nothing afterwards. */
 	exportState(now: number): AllocatorState {
 		this.#removeExpired(now);
-		const pools = [...this.#pools.keys()].map(account => ({account, level: this.#fillPool(account, now).level}));
+		const pools = [...this.#pools.keys()].map(account => ({account, level: this.#refillPool(account, now).level}));
 		const grants = [...this.#holders].flatMap(([id, holder]) => holder.grants.map(grant => ({
 			holder: id,
 			sequence: grant.sequence,
@@ -122,16 +122,16 @@
 	/** Returns the fractions of an account that may be in use, which never exceed one. */
 	getCommitted(account: string, now: number): Fractions {
 		this.#removeExpired(now);
-		return this.#sumOthers('', account);
+		return this.#sumCommitted('', account);
 	}
 
-	#getHolder(id: string): HolderRecord {
+	#getHolder(id: string): HolderState {
 		const holder = this.#holders.get(id) ?? {grants: [], demand: new Map<string, number>(), waiting: new Map<string, number>()};
 		this.#holders.set(id, holder);
 		return holder;
 	}
 
-	#observeDemand(holder: HolderRecord, report: DemandReport): void {
+	#recordDemand(holder: HolderState, report: DemandReport): void {
 		if (!report.partial) {
 			holder.demand.clear();
 			holder.waiting.clear();
@@ -143,7 +143,7 @@
 		}
 	}
 
-	#createShare(id: string, holder: HolderRecord, demand: AccountDemand, isLeaving: boolean, now: number): AccountShare {
+	#createShare(id: string, holder: HolderState, demand: AccountDemand, isLeaving: boolean, now: number): AccountShare {
 		const limits = this.getLimits(demand.account);
 		if (limits === undefined) {
 			return {
@@ -151,9 +151,9 @@
 			};
 		}
 
-		const others = this.#sumOthers(id, demand.account);
+		const others = this.#sumCommitted(id, demand.account);
 		const before = getCommittedFractions(holder, demand.account);
-		const pool = this.#fillPool(demand.account, now);
+		const pool = this.#refillPool(demand.account, now);
 		pool.level = Math.min(pool.level + demand.returnedTokens, Math.max(0, 1 - others.burst - before.burst) * limits.burst);
 		if (isLeaving) {
 			return {
@@ -161,84 +161,84 @@
 			};
 		}
 
-		const {part, total} = this.#getDemandPart(demand);
+		const {part, total} = this.#getDemandFraction(demand);
 		const rate = this.#chooseRate(demand, part, total, limits, others);
-		const kept = this.#chooseKept(demand, part, limits.rate, rate);
-		const wanted = this.#chooseTokens(demand, kept, pool, part);
-		const burst = clampFraction((kept + wanted + this.#getRoom(rate * limits.rate)) / limits.burst, 1 - others.burst);
+		const kept = this.#chooseKeptTokens(demand, part, limits.rate, rate);
+		const wanted = this.#chooseGrantedTokens(demand, kept, pool, part);
+		const burst = clampFraction((kept + wanted + this.#getRequiredCapacity(rate * limits.rate)) / limits.burst, 1 - others.burst);
 		const tokens = Math.max(0, Math.min(wanted, (burst * limits.burst) - kept));
 		holder.waiting.set(demand.account, Math.max(0, demand.waiting - kept - tokens));
 		const remaining = Math.max(0, 1 - others.burst - Math.max(burst, before.burst));
 		pool.level = Math.min(pool.level - tokens, remaining * limits.burst);
 		return {
-			account: demand.account, rateFraction: rate, burstFraction: burst, tokens, nextTokenMs: this.#estimateNextToken(demand, pool, others.rate + Math.max(rate, before.rate), limits.rate),
+			account: demand.account, rateFraction: rate, burstFraction: burst, tokens, nextTokenMs: this.#estimateNextTokenMs(demand, pool, others.rate + Math.max(rate, before.rate), limits.rate),
 		};
 	}
 
 	/** Rate that the VM's own demand uses up, where its part of the burst has room for what comes in between two reports. */
 	#chooseRate(demand: AccountDemand, part: number, total: number, limits: AccountLimits, others: Fractions): number {
 		const isSaturated = total > limits.rate;
-		const localRateShare = isSaturated ? saturatedRateShare(this.options) : this.options.localRateShare;
-		const wanted = Math.min(localRateShare * part * limits.rate, isSaturated ? limits.rate : this.options.coveredDemand * demand.perSecond);
-		const room = this.options.localBurstShare * part * limits.burst;
-		if (room < leastRoom) {
+		const localRateShare = isSaturated ? getSaturatedRateFraction(this.options) : this.options.maxLocalRateFraction;
+		const wanted = Math.min(localRateShare * part * limits.rate, isSaturated ? limits.rate : this.options.coveredDemandFraction * demand.perSecond);
+		const room = this.options.maxLocalBurstFraction * part * limits.burst;
+		if (room < minLocalBurstTokens) {
 			return 0;
 		}
 
-		const affordable = Math.min(wanted, (room - 1) * (1000 / this.options.roomMs));
+		const affordable = Math.min(wanted, (room - 1) * (1000 / this.options.localBufferMs));
 		return clampFraction(affordable / limits.rate, localRateShare - others.rate);
 	}
 
 	/** Tokens that a bucket has to have room for, so that its rate does not run to waste. */
-	#getRoom(rate: number): number {
-		return rate < smallest ? 0 : 1 + ((rate * this.options.roomMs) / 1000);
+	#getRequiredCapacity(rate: number): number {
+		return rate < epsilon ? 0 : 1 + ((rate * this.options.localBufferMs) / 1000);
 	}
 
 	/** Tokens that the VM keeps; where no rate tops them up, a fraction of one is of no use to it. */
-	#chooseKept(demand: AccountDemand, part: number, limit: number, rate: number): number {
-		const ceiling = demand.waiting + ((Math.min(demand.perSecond, limit * part) * this.options.holdMs) / 1000);
-		return rate > 0 ? Math.min(demand.heldTokens, Math.ceil(ceiling)) : Math.floor(Math.min(demand.heldTokens, ceiling) + smallest);
+	#chooseKeptTokens(demand: AccountDemand, part: number, limit: number, rate: number): number {
+		const ceiling = demand.waiting + ((Math.min(demand.perSecond, limit * part) * this.options.prefetchMs) / 1000);
+		return rate > 0 ? Math.min(demand.heldTokens, Math.ceil(ceiling)) : Math.floor(Math.min(demand.heldTokens, ceiling) + epsilon);
 	}
 
 	/** Tokens for the waiting requests and, from a pool that has enough, for those expected soon; always to whole ones. */
-	#chooseTokens(demand: AccountDemand, kept: number, pool: Pool, part: number): number {
+	#chooseGrantedTokens(demand: AccountDemand, kept: number, pool: Pool, part: number): number {
 		if (demand.waiting === 0) {
 			return 0;
 		}
 
-		const expected = (demand.perSecond * this.options.holdMs) / 1000;
+		const expected = (demand.perSecond * this.options.prefetchMs) / 1000;
 		const needed = Math.max(0, demand.waiting - kept);
 		const ahead = Math.max(0, Math.min(Math.floor(demand.waiting + expected - kept), Math.floor(pool.level * part)));
-		return Math.max(0, Math.floor(kept + Math.min(Math.max(needed, ahead), pool.level) + smallest) - kept);
+		return Math.max(0, Math.floor(kept + Math.min(Math.max(needed, ahead), pool.level) + epsilon) - kept);
 	}
 
-	#estimateNextToken(demand: AccountDemand, pool: Pool, committedRate: number, rate: number): number {
+	#estimateNextTokenMs(demand: AccountDemand, pool: Pool, committedRate: number, rate: number): number {
 		let waiting = 0;
 		for (const holder of this.#holders.values()) {
 			waiting += holder.waiting.get(demand.account) ?? 0;
 		}
 
-		const poolRate = Math.max(smallest, rate * (1 - committedRate));
-		return Math.min(longestEstimateMs, (Math.max(0, Math.max(1, waiting) - pool.level) / poolRate) * 1000);
+		const poolRate = Math.max(epsilon, rate * (1 - committedRate));
+		return Math.min(maxNextTokenMs, (Math.max(0, Math.max(1, waiting) - pool.level) / poolRate) * 1000);
 	}
 
-	#getDemandPart(demand: AccountDemand): {part: number; total: number} {
+	#getDemandFraction(demand: AccountDemand): {part: number; total: number} {
 		let total = 0;
 		for (const holder of this.#holders.values()) {
 			total += holder.demand.get(demand.account) ?? 0;
 		}
 
-		return {part: total < smallest ? 0 : demand.perSecond / total, total};
+		return {part: total < epsilon ? 0 : demand.perSecond / total, total};
 	}
 
-	#fillPools(holder: HolderRecord, accounts: readonly string[], now: number): void {
+	#refillPools(holder: HolderState, accounts: readonly string[], now: number): void {
 		for (const account of new Set([...accounts, ...holder.grants.flatMap(grant => [...grant.fractions.keys()])])) {
-			this.#fillPool(account, now);
+			this.#refillPool(account, now);
 		}
 	}
 
 	/** Fills the pool of an account at the rate, and up to the burst, that nobody else may use. */
-	#fillPool(account: string, now: number): Pool {
+	#refillPool(account: string, now: number): Pool {
 		const pool = this.#pools.get(account) ?? {level: 0, updatedAt: this.startedAt};
 		const limits = this.getLimits(account);
 		if (limits === undefined) {
@@ -246,7 +246,7 @@
 			return pool;
 		}
 
-		const committed = this.#sumOthers('', account);
+		const committed = this.#sumCommitted('', account);
 		const gained = ((now - pool.updatedAt) / 1000) * limits.rate * Math.max(0, 1 - committed.rate);
 		pool.level = Math.min(Math.max(0, 1 - committed.burst) * limits.burst, pool.level + gained);
 		pool.updatedAt = now;
@@ -254,7 +254,7 @@
 		return pool;
 	}
 
-	#sumOthers(id: string, account: string): Fractions {
+	#sumCommitted(id: string, account: string): Fractions {
 		let rate = 0;
 		let burst = 0;
 		for (const [otherId, holder] of this.#holders) {
@@ -271,17 +271,17 @@
 	#removeExpired(now: number): void {
 		for (const [id, holder] of this.#holders) {
 			if (holder.grants.length > 0 && holder.grants.every(grant => grant.expiresAt <= now)) {
-				this.#fillPools(holder, [], now);
+				this.#refillPools(holder, [], now);
 				this.#holders.delete(id);
 			}
 		}
 	}
 }
 
-function getCommittedFractions(holder: HolderRecord, account: string): Fractions {
-	let {rate, burst} = noFractions;
+function getCommittedFractions(holder: HolderState, account: string): Fractions {
+	let {rate, burst} = zeroFractions;
 	for (const grant of holder.grants) {
-		const fractions = grant.fractions.get(account) ?? noFractions;
+		const fractions = grant.fractions.get(account) ?? zeroFractions;
 		rate = Math.max(rate, fractions.rate);
 		burst = Math.max(burst, fractions.burst);
 	}
@@ -290,8 +290,8 @@
 }
 
 /** When a rate is used up there is nothing to keep for others. */
-function saturatedRateShare(options: AllocatorOptions): number {
-	return options.localRateShare === 0 ? 0 : 0.95;
+function getSaturatedRateFraction(options: AllocatorOptions): number {
+	return options.maxLocalRateFraction === 0 ? 0 : 0.95;
 }
 
 function clampFraction(value: number, free: number): number {
--- a/packages/decisions/src/limits/share-holder.ts
+++ b/packages/decisions/src/limits/share-holder.ts
@@ -1,4 +1,4 @@
-import {type AccountShare, type LimitsLookup, type ShareGrant} from './account-demand.js';
+import {type AccountShare, type LimitsLookup, type ShareGrant} from './share-messages.js';
 
 type HeldShare = {
 	rateFraction: number;
@@ -6,11 +6,11 @@
 	tokens: number;
 	updatedAt: number;
 	/** Tokens that no longer fit and go back with the next report. */
-	toReturn: number;
+	excessTokens: number;
 };
 
 /** A token that fractions have been multiplied out to may fall short by this much. */
-const roundingError = 1e-9;
+const tokenTolerance = 1e-9;
 
 /** The shares of account limits that one VM may use until they expire. */
 export class ShareHolder {
@@ -35,7 +35,7 @@
 
 	/** Returns the tokens an account may use now. */
 	getTokens(account: string, now: number): number {
-		return this.#fillShare(account, now)?.tokens ?? 0;
+		return this.#refillShare(account, now)?.tokens ?? 0;
 	}
 
 	/** Returns the rate at which an account's tokens come in, a second. */
@@ -45,8 +45,8 @@
 
 	/** Takes one token of an account, where there is one. */
 	takeToken(account: string, now: number): boolean {
-		const share = this.#fillShare(account, now);
-		if (share === undefined || share.tokens < 1 - roundingError) {
+		const share = this.#refillShare(account, now);
+		if (share === undefined || share.tokens < 1 - tokenTolerance) {
 			return false;
 		}
 
@@ -57,9 +57,9 @@
 	/** Removes and returns the tokens that go back to the allocator. */
 	removeReturnedTokens(account: string): number {
 		const share = this.#shares.get(account);
-		const returned = share?.toReturn ?? 0;
+		const returned = share?.excessTokens ?? 0;
 		if (share !== undefined) {
-			share.toReturn = 0;
+			share.excessTokens = 0;
 		}
 
 		return returned;
@@ -75,7 +75,7 @@
 	applyGrant(grant: ShareGrant, sentAt: number, isPartial: boolean, now: number): void {
 		const listed = new Set(grant.accounts.map(share => share.account));
 		for (const account of this.getAccounts()) {
-			this.#fillShare(account, now);
+			this.#refillShare(account, now);
 			if (!isPartial && !listed.has(account)) {
 				this.#shares.delete(account);
 			}
@@ -98,19 +98,19 @@
 
 	#applyShare(share: AccountShare, now: number): void {
 		const held = this.#shares.get(share.account) ?? {
-			rateFraction: 0, burstFraction: 0, tokens: 0, updatedAt: now, toReturn: 0,
+			rateFraction: 0, burstFraction: 0, tokens: 0, updatedAt: now, excessTokens: 0,
 		};
 		held.rateFraction = share.rateFraction;
 		held.burstFraction = share.burstFraction;
 		const capacity = share.burstFraction * (this.getLimits(share.account)?.burst ?? 0);
 		const tokens = held.tokens + share.tokens;
 		held.tokens = Math.min(tokens, capacity);
-		held.toReturn = tokens - held.tokens;
+		held.excessTokens = tokens - held.tokens;
 		held.updatedAt = now;
 		this.#shares.set(share.account, held);
 	}
 
-	#fillShare(account: string, now: number): HeldShare | undefined {
+	#refillShare(account: string, now: number): HeldShare | undefined {
 		if (now >= this.#validUntil) {
 			this.clear();
 			return undefined;
--- a/packages/decisions/src/limits/window-counter.ts
+++ b/packages/decisions/src/limits/sliding-window-counter.ts
@@ -1,25 +1,25 @@
 /** Parts of a window in which operations are counted together. */
-const partCount = 50;
+const slotsPerWindow = 50;
 
 /** One part more than a window has: the oldest has not left it as a whole. */
-const slotCount = partCount + 1;
+const slotCount = slotsPerWindow + 1;
 
 /** Counts operations over a window that slides. */
-export class WindowCounter {
+export class SlidingWindowCounter {
 	readonly #counts = Array.from({length: slotCount}, () => 0);
 	readonly #slotMs: number;
-	#newest = Number.NEGATIVE_INFINITY;
+	#newestSlot = Number.NEGATIVE_INFINITY;
 	#sum = 0;
 
 	/** @param windowMs - Length of the window, milliseconds. */
 	constructor(private readonly windowMs: number) {
-		this.#slotMs = windowMs / partCount;
+		this.#slotMs = windowMs / slotsPerWindow;
 	}
 
 	/** Takes in operations; a negative number takes back what was counted lately. */
 	add(count: number, now: number): void {
 		this.#advance(now);
-		const index = this.#newest % slotCount;
+		const index = this.#newestSlot % slotCount;
 		const added = Math.max(count, -this.#sum);
 		this.#counts[index]! += added;
 		this.#sum += added;
@@ -55,9 +55,9 @@
 		this.#advance(now);
 		let left = this.#sum;
 		for (let age = slotCount - 1; age >= 0 && left > most; age--) {
-			left -= this.#counts[(this.#newest - age + slotCount) % slotCount]!;
+			left -= this.#counts[(this.#newestSlot - age + slotCount) % slotCount]!;
 			if (left <= most) {
-				return Math.max(1, ((this.#newest + slotCount - age) * this.#slotMs) - now);
+				return Math.max(1, ((this.#newestSlot + slotCount - age) * this.#slotMs) - now);
 			}
 		}
 
@@ -65,14 +65,14 @@
 	}
 
 	#advance(now: number): void {
-		const slot = Math.max(this.#newest, Math.floor(now / this.#slotMs));
-		const first = Math.max(this.#newest + 1, slot - slotCount + 1);
+		const slot = Math.max(this.#newestSlot, Math.floor(now / this.#slotMs));
+		const first = Math.max(this.#newestSlot + 1, slot - slotCount + 1);
 		for (let passed = first; passed <= slot; passed++) {
 			const index = ((passed % slotCount) + slotCount) % slotCount;
 			this.#sum -= this.#counts[index]!;
 			this.#counts[index] = 0;
 		}
 
-		this.#newest = slot;
+		this.#newestSlot = slot;
 	}
 }
--- a/packages/decisions/src/limits/token-bucket.ts
+++ b/packages/decisions/src/limits/token-bucket.ts
@@ -1,5 +1,5 @@
 /** Rate and burst of a bucket. */
-export type BucketLimit = {
+export type RateLimit = {
 	readonly ratePerS: number;
 	readonly burst: number;
 };
@@ -15,13 +15,13 @@
 	 * @param limit - Rate and burst to begin with.
 	 * @param tokens - Tokens to begin with: a process that just started does not know what its predecessor used.
 	 */
-	constructor(private limit: BucketLimit, tokens: number, now: number) {
+	constructor(private limit: RateLimit, tokens: number, now: number) {
 		this.#tokens = tokens;
 		this.#updatedAt = now;
 	}
 
 	/** Changes the limit; tokens beyond the new burst are lost. */
-	setLimit(limit: BucketLimit, now: number): void {
+	setLimit(limit: RateLimit, now: number): void {
 		this.#refill(now);
 		this.limit = limit;
 		this.#tokens = Math.min(this.#tokens, limit.burst);
@@ -54,7 +54,7 @@
 	}
 
 	/** Returns the part of the burst that is there. */
-	getFill(now: number): number {
+	getFillRatio(now: number): number {
 		this.#refill(now);
 		return this.limit.burst <= 0 ? 0 : this.#tokens / this.limit.burst;
 	}
--- a/packages/decisions/src/limits/token-issuer.ts
+++ b/packages/decisions/src/limits/token-issuer.ts
@@ -1,8 +1,8 @@
-import {type BucketLimit} from './token-bucket.js';
-import {countAllowed, WindowLimit} from './window-limit.js';
+import {type RateLimit} from './token-bucket.js';
+import {countAllowedPerWindow, SlidingWindowLimiter} from './sliding-window-limiter.js';
 
 /** What a VM wants of one account's limit. */
-export type TokenWant = {
+export type TokenDemand = {
 	/** Operations that wait for a token now. */
 	readonly needed: number;
 	/** Tokens that would save the next question. */
@@ -17,41 +17,41 @@
 };
 
 /** Who asks for tokens of which account. */
-export type TokenRequestOptions = {
+export type TokenRequest = {
 	readonly vm: string;
 	readonly account: string;
-	readonly want: TokenWant;
+	readonly demand: TokenDemand;
 	/** Limit of the account over all VMs. */
-	readonly limit: BucketLimit;
+	readonly limit: RateLimit;
 };
 
 /** Part of a burst that a new issuer begins with: it does not know what its predecessor gave. */
-const initialBurstPart = 0.3;
+const initialBurstFraction = 0.3;
 
 /** Fill of a bucket above which tokens are given ahead of need. */
-const extraFill = 0.5;
+const minPrefetchFillRatio = 0.5;
 
 /** Factor on what it used in the last window to which a VM goes on that cannot ask: the overage that deployments allow. */
-const unheardFactor = 1.1;
+const isolatedUsageFactor = 1.1;
 
 /** Least part of a limit that is given out, however much silent VMs may use. */
-const leastPart = 0.3;
+const minLimitFraction = 0.3;
 
 /** Time over which a VM's pace is averaged, milliseconds. */
-const paceWindowMs = 3000;
+const usageTimeConstantMs = 3000;
 
 const msPerSecond = 1000;
 
-type Pace = {perS: number; at: number};
+type UsageRate = {perSecond: number; at: number};
 
-type AccountTokens = {
-	readonly limit: WindowLimit;
+type AccountState = {
+	readonly limit: SlidingWindowLimiter;
 	/** What each VM was given lately. */
-	readonly paces: Map<string, Pace>;
+	readonly usageRates: Map<string, UsageRate>;
 };
 
 /** Who may go on without asking, as far as the issuer knows. */
-export type Silence = {
+export type SilentMembers = {
 	/** VMs that are not heard and may live. */
 	readonly silent: readonly string[];
 	/** VMs that share a limit, the silent ones included. */
@@ -63,28 +63,28 @@
  * @param members - VMs that share the limit.
  * @param used - Operations that it used in the last window.
  */
-export function countAloneAllowed(limit: BucketLimit, windowMs: number, members: number, used: number): number {
-	return Math.max(countAllowed(limit, windowMs) / Math.max(1, members), used * unheardFactor);
+export function countAllowedInIsolation(limit: RateLimit, windowMs: number, members: number, used: number): number {
+	return Math.max(countAllowedPerWindow(limit, windowMs) / Math.max(1, members), used * isolatedUsageFactor);
 }
 
 /** Gives out the operations of each account to the VMs. */
 export class TokenIssuer {
-	readonly #accounts = new Map<string, AccountTokens>();
+	readonly #accounts = new Map<string, AccountState>();
 
 	/** @param windowMs - Window over which limits hold, milliseconds. */
 	constructor(private readonly windowMs: number) {}
 
 	/**
 	 * Gives tokens to a VM.
-	 * @param silence - VMs that may go on without asking, see {@link countAloneAllowed}.
+	 * @param silence - VMs that may go on without asking, see {@link countAllowedInIsolation}.
 	 * @param now - Steady time in milliseconds.
 	 */
-	issue({vm, account, want, limit}: TokenRequestOptions, silence: Silence, now: number): TokenGrant {
+	grantTokens({vm, account, demand: want, limit}: TokenRequest, silence: SilentMembers, now: number): TokenGrant {
 		const known = this.#accounts.get(account);
-		const state = known ?? this.#addState(account, limit, now);
-		state.limit.setLimit(limit, this.#countReserved(state, limit, silence), leastPart, now);
+		const state = known ?? this.#addAccount(account, limit, now);
+		state.limit.setLimit(limit, this.#countReserved(state, limit, silence), minLimitFraction, now);
 		if (known === undefined) {
-			state.limit.assumeUsed(limit, limit.burst * initialBurstPart, now);
+			state.limit.assumePriorUsage(limit, limit.burst * initialBurstFraction, now);
 		}
 
 		let count = 0;
@@ -94,32 +94,32 @@
 
 		const isShort = count < want.needed;
 		const most = isShort ? count : want.needed + want.extra;
-		while (count < most && state.limit.getFill(now) > extraFill && state.limit.takeToken(now)) {
+		while (count < most && state.limit.getFillRatio(now) > minPrefetchFillRatio && state.limit.takeToken(now)) {
 			count += 1;
 		}
 
-		observePace(state.paces, vm, count, now);
+		recordUsage(state.usageRates, vm, count, now);
 		return {count, waitMs: isShort ? Math.max(1, state.limit.getWaitMs(now)) : 0};
 	}
 
 	/** Forgets the pace of a VM whose process began anew. */
 	removeVm(vm: string): void {
-		for (const {paces} of this.#accounts.values()) {
+		for (const {usageRates: paces} of this.#accounts.values()) {
 			paces.delete(vm);
 		}
 	}
 
-	#addState(account: string, limit: BucketLimit, now: number): AccountTokens {
-		const state = {limit: new WindowLimit(limit, this.windowMs, now), paces: new Map<string, Pace>()};
+	#addAccount(account: string, limit: RateLimit, now: number): AccountState {
+		const state = {limit: new SlidingWindowLimiter(limit, this.windowMs, now), usageRates: new Map<string, UsageRate>()};
 		this.#accounts.set(account, state);
 		return state;
 	}
 
 	/** Returns the operations of a window that VMs may use which cannot ask now. */
-	#countReserved(state: AccountTokens, limit: BucketLimit, {silent, members}: Silence): number {
+	#countReserved(state: AccountState, limit: RateLimit, {silent, members}: SilentMembers): number {
 		let reserved = 0;
 		for (const vm of silent) {
-			reserved += countAloneAllowed(limit, this.windowMs, members, ((state.paces.get(vm)?.perS ?? 0) * this.windowMs) / msPerSecond);
+			reserved += countAllowedInIsolation(limit, this.windowMs, members, ((state.usageRates.get(vm)?.perSecond ?? 0) * this.windowMs) / msPerSecond);
 		}
 
 		return reserved;
@@ -127,8 +127,8 @@
 }
 
 /** Takes in operations into an average that decays with time. */
-export function observePace(paces: Map<string, Pace>, key: string, count: number, now: number): void {
-	const pace = paces.get(key) ?? {perS: 0, at: now};
-	const kept = Math.exp(-(now - pace.at) / paceWindowMs);
-	paces.set(key, {perS: (pace.perS * kept) + ((count * msPerSecond) / paceWindowMs), at: now});
+export function recordUsage(paces: Map<string, UsageRate>, key: string, count: number, now: number): void {
+	const pace = paces.get(key) ?? {perSecond: 0, at: now};
+	const kept = Math.exp(-(now - pace.at) / usageTimeConstantMs);
+	paces.set(key, {perSecond: (pace.perSecond * kept) + ((count * msPerSecond) / usageTimeConstantMs), at: now});
 }
--- a/packages/decisions/src/tests/leases/lease.test.ts
+++ b/packages/decisions/src/tests/leases/lease-candidate.test.ts
@@ -58,7 +58,7 @@
 	for (const [name, voter] of voters) {
 		const answer = isLost()
 			? undefined
-			: voter.promise({
+			: voter.handlePromiseRequest({
 				holder: id, term: round.term, durationMs: timing.durationMs, predecessor: '',
 			}, now);
 		if (answer !== undefined && !isLost()) {
--- a/packages/decisions/src/tests/limits/limit-simulation.ts
+++ b/packages/decisions/src/tests/limits/limit-simulation.ts
@@ -82,7 +82,7 @@
 		});
 	};
 
-	const decide = (node: (typeof nodes)[number], decisions: ReturnType<AdmissionControl['advance']>) => {
+	const decide = (node: (typeof nodes)[number], decisions: ReturnType<AdmissionControl['processWaiters']>) => {
 		for (const decision of decisions) {
 			if (decision.kind === 'admitted') {
 				admitted.push({at: now, vm: node.vm});
@@ -124,12 +124,12 @@
 			}
 		}
 
-		decide(node, node.admission.advance(now));
+		decide(node, node.admission.processWaiters(now));
 		if (node.outstanding !== 0 && now - node.sentAt > timeoutMs) {
 			node.outstanding = 0;
 		}
 
-		const kind = node.outstanding === 0 ? node.admission.getDueReport(now) : undefined;
+		const kind = node.outstanding === 0 ? node.admission.getDueReportKind(now) : undefined;
 		if (kind !== undefined) {
 			sendReport(node, kind === 'partial');
 		}
@@ -148,7 +148,7 @@
 }
 
 /** Returns by how much the worst window exceeds burst plus rate times its length; at most zero is right. */
-export function getWorstExcess(admitted: readonly Admission[], {rate, burst}: AccountLimits): number {
+export function getMaxExcess(admitted: readonly Admission[], {rate, burst}: AccountLimits): number {
 	let worst = Number.NEGATIVE_INFINITY;
 	// The excess of a window from i to j is f(j) - f(i) + 1 - burst, with f(i) = i - rate * at(i).
 	let least = Number.POSITIVE_INFINITY;
--- a/packages/decisions/src/tests/limits/limits.test.ts
+++ b/packages/decisions/src/tests/limits/share-allocator.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import fc from 'fast-check';
 import {type AccountLimits} from '@chicorysaddle/model';
-import {getWorstExcess, simulateLimits} from './limit-simulation.js';
+import {getMaxExcess, simulateLimits} from './limit-simulation.js';
 
 const rounding = 1e-6;
 const unevenParts = [0.3, 0.18, 0.14, 0.12, 0.1, 0.09, 0.07];
@@ -28,7 +28,7 @@
 			getRandom: createRandom(seed),
 			isPaused: (vm, now) => pauses.some(one => one.vm === vm && now >= one.from && now < one.from + one.lasts),
 		});
-		t.true(getWorstExcess(admitted, account) <= rounding);
+		t.true(getMaxExcess(admitted, account) <= rounding);
 	}), {seed: 4, numRuns: 60});
 });
 
@@ -40,10 +40,10 @@
 		limits: before, vms: 4, durationMs: 15_000, demand: [40, 30, 20, 10], getRandom: createRandom(3),
 		getLimitsAt: (vm, now) => (now < changedAt + (vm * 20) ? before : after),
 	});
-	t.true(getWorstExcess(admitted, before) <= rounding);
+	t.true(getMaxExcess(admitted, before) <= rounding);
 	const settled = admitted.filter(({at}) => at >= changedAt + 80);
 	t.true(settled.length > 50);
-	t.true(getWorstExcess(settled, after) <= rounding);
+	t.true(getMaxExcess(settled, after) <= rounding);
 });
 
 test('at 0.9 of their rates, spread unevenly over seven VMs, accounts have at most 0.5% refused', t => {
--- a/packages/decisions/src/tests/limits/window-limit.test.ts
+++ b/packages/decisions/src/tests/limits/sliding-window-limiter.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import test from 'ava';
 import {
-	countAllowed, TokenBucket, WindowCounter, WindowLimit,
+	countAllowedPerWindow, TokenBucket, SlidingWindowCounter, SlidingWindowLimiter,
 } from '../../limits/index.js';
 
 const windowMs = 5000;
@@ -24,28 +24,28 @@
 }
 
 test('an account at 1.17 times its rate for long is within its limit in every window, and served; a bucket refuses it', t => {
-	const whole = new WindowLimit(limit, windowMs, 0);
+	const whole = new SlidingWindowLimiter(limit, windowMs, 0);
 	const bucket = new TokenBucket(limit, limit.burst, 0);
 	const asked = 1.17 * limit.ratePerS * 20;
 	const served = askEvenly(now => whole.takeToken(now), 1.17 * limit.ratePerS, 20_000);
 	const servedByBucket = askEvenly(now => bucket.takeToken(now, 0), 1.17 * limit.ratePerS, 20_000);
 	t.true(served.length >= 0.99 * asked, `${served.length} of ${asked}`);
 	t.true(servedByBucket.length < 0.9 * asked, `${servedByBucket.length} of ${asked}`);
-	t.true(countMost(served) <= countAllowed(limit, windowMs));
+	t.true(countMost(served) <= countAllowedPerWindow(limit, windowMs));
 });
 
 test('an account at five times its rate gets what a window allows and no more, in each second some', t => {
-	const whole = new WindowLimit(limit, windowMs, 0);
+	const whole = new SlidingWindowLimiter(limit, windowMs, 0);
 	const served = askEvenly(now => whole.takeToken(now), 5 * limit.ratePerS, 20_000);
-	t.true(countMost(served) <= countAllowed(limit, windowMs));
-	t.true(served.length >= 0.95 * 4 * countAllowed(limit, windowMs), `${served.length}`);
+	t.true(countMost(served) <= countAllowedPerWindow(limit, windowMs));
+	t.true(served.length >= 0.95 * 4 * countAllowedPerWindow(limit, windowMs), `${served.length}`);
 	for (let second = 6; second < 20; second++) {
 		t.true(served.filter(time => time >= second * 1000 && time < (second + 1) * 1000).length > 0.5 * limit.ratePerS, `second ${second}`);
 	}
 });
 
 test('an account whose limit is lowered goes on at once at the lower one', t => {
-	const whole = new WindowLimit(limit, windowMs, 0);
+	const whole = new SlidingWindowLimiter(limit, windowMs, 0);
 	askEvenly(now => whole.takeToken(now), 80, 10_000);
 	const lower = {ratePerS: 20, burst: 20};
 	whole.setLimit(lower, 0, 0.3, 10_000);
@@ -54,14 +54,14 @@
 		t.true(served.filter(time => time >= second * 1000 && time < (second + 1) * 1000).length >= 10, `second ${second}: ${served.join(' ')}`);
 	}
 
-	t.true(served.length <= countAllowed(lower, windowMs));
+	t.true(served.length <= countAllowedPerWindow(lower, windowMs));
 });
 
 test('a limit whose past is not known begins as if the rate had been used', t => {
-	const young = new WindowLimit(limit, windowMs, 0);
-	young.assumeUsed(limit, 0.3 * limit.burst, 0);
+	const young = new SlidingWindowLimiter(limit, windowMs, 0);
+	young.assumePriorUsage(limit, 0.3 * limit.burst, 0);
 	const served = askEvenly(now => young.takeToken(now), 1000, windowMs);
-	t.true(served.length <= countAllowed(limit, windowMs));
+	t.true(served.length <= countAllowedPerWindow(limit, windowMs));
 	t.is(served.filter(time => time < 20).length, 20);
 	t.true(served.filter(time => time < 1000).length <= (0.3 * limit.burst) + (1.2 * limit.ratePerS) + 1);
 });
@@ -77,7 +77,7 @@
 
 test('a window counts what is in it, and says when there is room', t => {
 	fc.assert(fc.property(fc.array(fc.record({gapMs: fc.integer({min: 0, max: 900}), count: fc.integer({min: 1, max: 5})}), {minLength: 1, maxLength: 60}), steps => {
-		const counter = new WindowCounter(windowMs);
+		const counter = new SlidingWindowCounter(windowMs);
 		const added: Array<{at: number; count: number}> = [];
 		let now = 0;
 		for (const {gapMs, count} of steps) {
@@ -90,7 +90,7 @@
 
 			const waitMs = counter.getWaitMs(3, now);
 			if (waitMs > 0) {
-				const later = new WindowCounter(windowMs);
+				const later = new SlidingWindowCounter(windowMs);
 				for (const entry of added) {
 					later.add(entry.count, entry.at);
 				}
@@ -107,7 +107,7 @@
 });
 
 test('what is taken back never makes room that was not used', t => {
-	const counter = new WindowCounter(windowMs);
+	const counter = new SlidingWindowCounter(windowMs);
 	counter.add(2, 0);
 	counter.add(-5, 10);
 	t.is(counter.getCount(10), 0);
--- a/packages/decisions/src/tests/limits/token-issuer.test.ts
+++ b/packages/decisions/src/tests/limits/token-issuer.test.ts
@@ -1,12 +1,12 @@
 import fc from 'fast-check';
 import test from 'ava';
-import {countAllowed, countAloneAllowed, TokenIssuer} from '../../limits/index.js';
+import {countAllowedPerWindow, countAllowedInIsolation, TokenIssuer} from '../../limits/index.js';
 
 const limit = {ratePerS: 20, burst: 20};
 
 function ask(issuer: TokenIssuer, vm: string, now: number, {needed = 1, extra = 0, silent = [] as string[]} = {}) {
-	return issuer.issue({
-		vm, account: 'agency', want: {needed, extra}, limit,
+	return issuer.grantTokens({
+		vm, account: 'agency', demand: {needed, extra}, limit,
 	}, {silent, members: 5}, now);
 }
 
@@ -53,14 +53,14 @@
 	const silent = ['lost1', 'lost2'];
 	let given = 0;
 	for (let now = 10_000; now < 15_000; now += 10) {
-		given += issuer.issue({
-			vm: 'vm1', account: 'agency', want: {needed: 5, extra: 0}, limit,
+		given += issuer.grantTokens({
+			vm: 'vm1', account: 'agency', demand: {needed: 5, extra: 0}, limit,
 		}, {silent, members}, now).count;
 	}
 
-	const alone = silent.length * countAloneAllowed(limit, 5000, members, 0);
+	const alone = silent.length * countAllowedInIsolation(limit, 5000, members, 0);
 	t.true(alone >= 40);
-	t.true(given + alone <= countAllowed(limit, 5000), `${given} and ${alone}`);
+	t.true(given + alone <= countAllowedPerWindow(limit, 5000), `${given} and ${alone}`);
 	t.true(given >= 50, `${given}`);
 });
 
--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -1,4 +1,4 @@
-import {type Moment} from '@chicorysaddle/decisions';
+import {type ClockReading} from '@chicorysaddle/decisions';
 import {
 	type Heartbeat, type parsePeerMessage, type CoordinatorReport, type TokenGrants, type TokenDemands,
 } from '@chicorysaddle/protocol/coordination';
@@ -488,7 +488,7 @@
 		this.#hint = this.#linkAddress;
 		this.parts.terms.confirm(sentAt);
 		for (const [group, {position, ageMs}] of Object.entries(report.positions)) {
-			this.parts.terms.observePosition(group, position, sentAt.steady - ageMs);
+			this.parts.terms.observePosition(group, position, sentAt.monotonicMs - ageMs);
 		}
 	}
 
@@ -549,7 +549,7 @@
 			this.#pollPauseMs = result.kind === 'ok' ? storePollMs : storeAwayPollMs;
 			if (result.kind === 'ok') {
 				await this.#applyState(parseSharedRows(result.value, this.parts.log), at);
-			} else if (this.#answeredAt < at.steady) {
+			} else if (this.#answeredAt < at.monotonicMs) {
 				// The row that was read last may be old: other VMs may know better.
 				this.#coordinator = undefined;
 			}
@@ -602,7 +602,7 @@
 		}
 	}
 
-	async #applyState(state: SharedState, at: Moment): Promise<void> {
+	async #applyState(state: SharedState, at: ClockReading): Promise<void> {
 		for (const term of state.terms.values()) {
 			this.parts.terms.applyTerm(term);
 		}
@@ -624,7 +624,7 @@
 			this.#tellInstances();
 		}
 
-		if (this.#isRegistered && !this.#isLeaving && at.steady >= this.#restUntil && !this.parts.duty.isHeld() && this.parts.duty.isVacant(state.duty) && this.#isTurn() && await this.parts.duty.takeOver(state.duty)) {
+		if (this.#isRegistered && !this.#isLeaving && at.monotonicMs >= this.#restUntil && !this.parts.duty.isHeld() && this.parts.duty.isVacant(state.duty) && this.#isTurn() && await this.parts.duty.takeOver(state.duty)) {
 			this.parts.coordinator.setRegistered(new Set(state.members.keys()));
 			this.#tellInstances();
 		}
--- a/packages/gateway/src/coordination/coordinator.ts
+++ b/packages/gateway/src/coordination/coordinator.ts
@@ -147,8 +147,8 @@
 			const limit = this.parts.configuration.getAccount(account);
 			grants[account] = limit === undefined
 				? {count: 0, waitMs: heardMs}
-				: this.#issuer.issue({
-					vm, account, want, limit,
+				: this.#issuer.grantTokens({
+					vm, account, demand: want, limit,
 				}, silence, now);
 		}
 
--- a/packages/gateway/src/coordination/duty-keeper.ts
+++ b/packages/gateway/src/coordination/duty-keeper.ts
@@ -1,4 +1,4 @@
-import {TimedLease, type Moment} from '@chicorysaddle/decisions';
+import {DualClockLease, type ClockReading} from '@chicorysaddle/decisions';
 import {type DecisionLog} from '../observability/index.js';
 import {type Clock, type CoordinationTable, type SharedRowWrite} from '../ports/index.js';
 import {type GatewayIdentity} from './gateway-identity.js';
@@ -24,11 +24,11 @@
 
 /** Holds, or takes over, the row that names the coordinator. */
 export class DutyKeeper {
-	readonly #lease = new TimedLease(dutyLeaseMs);
+	readonly #lease = new DualClockLease(dutyLeaseMs);
 	#held: DutyRow | undefined;
 	#seen: {readonly version: number; readonly at: number} | undefined;
 	#renewedAt = Number.NEGATIVE_INFINITY;
-	#uncertainSince: Moment | undefined;
+	#uncertainSince: ClockReading | undefined;
 	#queue: Promise<unknown> = Promise.resolve();
 	#tookOverAt = 0;
 	/** Newest token under which this process coordinates no more. */
@@ -110,7 +110,7 @@
 	}
 
 	/** Takes up a duty that a lost answer had left open: the row names this process already. */
-	resume(duty: DutyRow, at: Moment): void {
+	resume(duty: DutyRow, at: ClockReading): void {
 		const isOwn = duty.holder === this.identity.vm && duty.incarnation === this.identity.incarnation;
 		// A duty that was given up may still stand in the row: its successor is about to write.
 		if (this.#held === undefined && isOwn && duty.token > this.#givenUpToken) {
@@ -169,7 +169,7 @@
 			this.#givenUpToken = this.#held.token;
 			this.#held = undefined;
 			this.#changes += 1;
-			this.#lease.end();
+			this.#lease.release();
 		}
 	}
 
@@ -214,11 +214,11 @@
 		return {version: duty.version, rows: new Map(result.value.map(row => [row.key, row.value]))};
 	}
 
-	#hold(duty: DutyRow, at: Moment): void {
+	#hold(duty: DutyRow, at: ClockReading): void {
 		this.#changes += this.#held === undefined ? 1 : 0;
 		this.#held = duty;
 		this.#uncertainSince = undefined;
-		this.#lease.confirm(at);
+		this.#lease.renew(at);
 		this.#renewedAt = this.clock.now();
 		this.observeVersion(duty.version);
 	}
@@ -229,7 +229,7 @@
 		return result;
 	}
 
-	#getMoment(): Moment {
-		return {steady: this.clock.now(), wall: this.clock.getWallTime()};
+	#getMoment(): ClockReading {
+		return {monotonicMs: this.clock.now(), wallMs: this.clock.getWallTime()};
 	}
 }
--- a/packages/gateway/src/coordination/heartbeat-writer.ts
+++ b/packages/gateway/src/coordination/heartbeat-writer.ts
@@ -1,4 +1,4 @@
-import {type Moment} from '@chicorysaddle/decisions';
+import {type ClockReading} from '@chicorysaddle/decisions';
 import {type Heartbeat, type CoordinatorReport} from '@chicorysaddle/protocol/coordination';
 import {type ConfigurationView} from '../configuration/index.js';
 import {type Dispatcher} from '../dispatch/index.js';
@@ -21,7 +21,7 @@
 /** Writes what this VM tells the coordinator, and remembers when. */
 export class HeartbeatWriter {
 	#sequence = 0;
-	#sent: Array<{readonly sequence: number; readonly at: Moment}> = [];
+	#sent: Array<{readonly sequence: number; readonly at: ClockReading}> = [];
 	#echo: {readonly stampMs: number; readonly receivedAt: number} | undefined;
 
 	constructor(private readonly parts: HeartbeatWriterParts) {}
@@ -55,7 +55,7 @@
 	}
 
 	/** Takes in a report; returns when the heartbeat was sent that it answers, if it answers one. */
-	observeReport(report: CoordinatorReport): Moment | undefined {
+	observeReport(report: CoordinatorReport): ClockReading | undefined {
 		this.#echo = {stampMs: report.stampMs, receivedAt: this.parts.clock.now()};
 		return this.#sent.find(heartbeat => heartbeat.sequence === report.sequence)?.at;
 	}
--- a/packages/gateway/src/limits/account-limiter.ts
+++ b/packages/gateway/src/limits/account-limiter.ts
@@ -1,12 +1,12 @@
 import {
-	countAloneAllowed, WindowCounter, type TokenGrant, type TokenWant,
+	countAllowedInIsolation, SlidingWindowCounter, type TokenGrant, type TokenDemand,
 } from '@chicorysaddle/decisions';
 import {type ConfigurationView} from '../configuration/index.js';
 import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
 import {type AdjustableSettingsSource, type Clock} from '../ports/index.js';
 
 /** Asks the coordinator for tokens; undefined when it does not answer. */
-export type TokenChannel = (wants: Readonly<Record<string, TokenWant>>) => Promise<Readonly<Record<string, TokenGrant>> | undefined>;
+export type TokenChannel = (wants: Readonly<Record<string, TokenDemand>>) => Promise<Readonly<Record<string, TokenGrant>> | undefined>;
 
 /** Time for which tokens that were given ahead of need may be used, milliseconds. */
 const stockMs = 500;
@@ -34,7 +34,7 @@
 	isAsking: boolean;
 	waiting: Waiter[];
 	/** What this VM used in the window. */
-	readonly used: WindowCounter;
+	readonly used: SlidingWindowCounter;
 	/** What this VM may use in a window while the coordinator does not answer. */
 	unheardMost: number | undefined;
 };
@@ -134,7 +134,7 @@
 
 	async #flush(): Promise<void> {
 		const asked = new Map<string, Waiter[]>();
-		const wants: Record<string, TokenWant> = {};
+		const wants: Record<string, TokenDemand> = {};
 		const now = this.clock.now();
 		const aheadPart = (aheadS * msPerSecond) / this.getSettings().limitWindowMs;
 		for (const [account, state] of this.#accounts) {
@@ -225,7 +225,7 @@
 	#chooseUnheardMost(account: string, members: number, state: AccountState, now: number): number {
 		const {limitWindowMs} = this.getSettings();
 		const limit = this.configuration.getAccount(account);
-		return limit === undefined ? 0 : countAloneAllowed(limit, limitWindowMs, members, state.used.getCount(now));
+		return limit === undefined ? 0 : countAllowedInIsolation(limit, limitWindowMs, members, state.used.getCount(now));
 	}
 
 	/** Returns the part of a window of which this process knows what its VM used. */
@@ -237,7 +237,7 @@
 		let state = this.#accounts.get(account);
 		if (state === undefined) {
 			state = {
-				stock: 0, stockUntil: 0, deniedUntil: 0, isAsking: false, waiting: [], used: new WindowCounter(this.getSettings().limitWindowMs), unheardMost: undefined,
+				stock: 0, stockUntil: 0, deniedUntil: 0, isAsking: false, waiting: [], used: new SlidingWindowCounter(this.getSettings().limitWindowMs), unheardMost: undefined,
 			};
 			this.#accounts.set(account, state);
 		}
--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -1,4 +1,4 @@
-import {type Moment, PositionHistory, TimedLease} from '@chicorysaddle/decisions';
+import {type ClockReading, PositionHistory, DualClockLease} from '@chicorysaddle/decisions';
 import {type LogPosition} from '@chicorysaddle/model';
 import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
 import {type Clock} from '../ports/index.js';
@@ -34,7 +34,7 @@
 	readonly #positions = new Map<string, PositionHistory>();
 	readonly #writes = new Map<string, number>();
 	readonly #settled = new Map<string, number>();
-	readonly #lease = new TimedLease(termLeaseMs);
+	readonly #lease = new DualClockLease(termLeaseMs);
 	readonly #listeners: Array<(term: GroupTerm) => void> = [];
 	readonly #confirmListeners: Array<() => void> = [];
 	#wasHeld = false;
@@ -68,8 +68,8 @@
 		return this.#closedSince.get(group);
 	}
 
-	getMoment(): Moment {
-		return {steady: this.clock.now(), wall: this.clock.getWallTime()};
+	getMoment(): ClockReading {
+		return {monotonicMs: this.clock.now(), wallMs: this.clock.getWallTime()};
 	}
 
 	isLeaseHeld(): boolean {
@@ -99,12 +99,12 @@
 	 * Takes in that the terms known here were the newest ones at a moment.
 	 * @param at - Moment at which that was asked for.
 	 */
-	confirm(at: Moment): void {
+	confirm(at: ClockReading): void {
 		const wasHeld = this.isLeaseHeld();
-		this.#lease.confirm(at);
-		this.#confirmedAt = Math.max(this.#confirmedAt, at.steady);
+		this.#lease.renew(at);
+		this.#confirmedAt = Math.max(this.#confirmedAt, at.monotonicMs);
 		if (!wasHeld && this.isLeaseHeld()) {
-			this.log.logEvent('term-lease.taken', {ageMs: Math.round(this.clock.now() - at.steady)});
+			this.log.logEvent('term-lease.taken', {ageMs: Math.round(this.clock.now() - at.monotonicMs)});
 			for (const listener of this.#confirmListeners) {
 				listener();
 			}
--- a/packages/gateway/src/tests/coordination/duty-keeper.test.ts
+++ b/packages/gateway/src/tests/coordination/duty-keeper.test.ts
@@ -20,7 +20,7 @@
 	const keeper = createKeeper(store, time, 'vm1');
 	t.true(await time.waitFor(keeper.takeOver(undefined)));
 	keeper.yieldDuty();
-	keeper.resume(readDuty(store), {steady: time.now(), wall: time.getWallTime()});
+	keeper.resume(readDuty(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
 	t.false(keeper.isHeld());
 	t.true(await time.waitFor(createKeeper(store, time, 'vm2').takeOver(readDuty(store))));
 	t.is(readDuty(store).token, 2);
@@ -33,7 +33,7 @@
 	store.trouble = 'answers-lost';
 	t.false(await time.waitFor(keeper.takeOver(undefined)));
 	t.false(keeper.isHeld());
-	keeper.resume(readDuty(store), {steady: time.now(), wall: time.getWallTime()});
+	keeper.resume(readDuty(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
 	t.true(keeper.isHeld());
 	time.stop();
 });
@@ -45,7 +45,7 @@
 	const content = {
 		holder: 'vm1', incarnation: 'vm1-1', address: 'vm1:1', token: 1, version: 1,
 	};
-	keeper.resume(content, {steady: time.now(), wall: time.getWallTime()});
+	keeper.resume(content, {monotonicMs: time.now(), wallMs: time.getWallTime()});
 	keeper.yieldDuty();
 	t.false(await time.waitFor(answer));
 	t.false(keeper.isHeld());
--- a/packages/proxy/src/limits/allocation-channel.ts
+++ b/packages/proxy/src/limits/allocation-channel.ts
@@ -18,7 +18,7 @@
 	/** Sends the report that is due, where none is under way. */
 	async reportIfDue(): Promise<void> {
 		const sentAt = this.clock.getNow();
-		const due = this.#isReporting ? undefined : this.admission.getDueReport(sentAt);
+		const due = this.#isReporting ? undefined : this.admission.getDueReportKind(sentAt);
 		if (due === undefined) {
 			return;
 		}
@@ -36,6 +36,6 @@
 	/** Gives everything back. */
 	async sendFarewell(): Promise<void> {
 		this.#isReporting = true;
-		await this.sendReport(this.admission.createFarewell(this.vm, this.incarnation, this.clock.getNow()));
+		await this.sendReport(this.admission.createFinalReport(this.vm, this.incarnation, this.clock.getNow()));
 	}
 }
--- a/packages/proxy/src/limits/lease-keeper.ts
+++ b/packages/proxy/src/limits/lease-keeper.ts
@@ -76,7 +76,7 @@
 			? {
 				promised: false, holder: this.getHolder(now), term: this.term, remainingMs: 0,
 			}
-			: this.#voter.promise(request, now);
+			: this.#voter.handlePromiseRequest(request, now);
 	}
 
 	release(holder: string): void {
@@ -93,7 +93,7 @@
 		}
 
 		this.#candidate.observeVacancy(this.#voter.getHolder(now) === '', now);
-		if (!this.#candidate.isDue(now)) {
+		if (!this.#candidate.isRoundDue(now)) {
 			return;
 		}
 
@@ -109,14 +109,14 @@
 		const now = this.clock.getNow();
 		this.#predecessor = predecessor;
 		this.#candidate.observeTerm(term);
-		await this.#runRound(this.#candidate.startTakeOver(now), this.configuration.current.getVoterNames());
+		await this.#runRound(this.#candidate.startTakeoverRound(now), this.configuration.current.getVoterNames());
 		this.#predecessor = '';
 		return this.isHeld(this.clock.getNow());
 	}
 
 	/** Gives the lease up; the caller makes sure that nothing granted under it is in use. */
 	abandon(): void {
-		this.#candidate.abandon(this.clock.getNow());
+		this.#candidate.releaseLease(this.clock.getNow());
 	}
 
 	async releaseEverywhere(): Promise<void> {
@@ -153,7 +153,7 @@
 	}
 
 	#promiseToSelf(round: LeaseRound): boolean {
-		return this.#voter.promise(this.#createRequest(round), this.clock.getNow()).promised;
+		return this.#voter.handlePromiseRequest(this.#createRequest(round), this.clock.getNow()).promised;
 	}
 
 	async #askPromise(voter: string, round: LeaseRound): Promise<boolean> {
--- a/packages/proxy/src/limits/limiter.ts
+++ b/packages/proxy/src/limits/limiter.ts
@@ -283,7 +283,7 @@
 
 	#advance(): void {
 		for (const channel of this.#channels.values()) {
-			for (const decision of channel.admission.advance(this.parts.clock.getNow())) {
+			for (const decision of channel.admission.processWaiters(this.parts.clock.getNow())) {
 				const pending = this.#pending.get(decision.id);
 				this.#pending.delete(decision.id);
 				pending?.resolve(this.#describeDecision(decision, pending.account));
