--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -12,39 +12,39 @@
 } from '../ports/index.js';
 import {type TermRegistry} from '../terms/index.js';
 import {type Coordinator} from './coordinator.js';
-import {type DutyKeeper} from './duty-keeper.js';
+import {type CoordinatorLease} from './coordinator-lease.js';
 import {type GatewayIdentity} from './gateway-identity.js';
-import {HeartbeatWriter} from './heartbeat-writer.js';
-import {LagMonitor} from './lag-monitor.js';
+import {HeartbeatBuilder} from './heartbeat-builder.js';
+import {EventLoopLagMonitor} from './event-loop-lag-monitor.js';
 import {type Promoter} from './promoter.js';
 import {
-	type DutyRow, getMemberKey, parseSharedRows, type SharedState,
+	type CoordinatorRow, getMemberKey, parseSharedRows, type SharedState,
 } from './shared-rows.js';
-import {TokenChannel} from './token-channel.js';
+import {TokenClient} from './token-client.js';
 
 /** Interval of the loop, milliseconds. */
-const tickMs = 50;
+const tickIntervalMs = 50;
 
 /** Interval of heartbeats, milliseconds: a term lease spans several. */
-const heartbeatMs = 400;
+const heartbeatIntervalMs = 400;
 
 /** Least time between two heartbeats, milliseconds. */
-const hastyHeartbeatMs = 20;
+const urgentHeartbeatIntervalMs = 20;
 
 /** Time without an answer after which the store is asked instead, milliseconds. */
-const coordinatorSilentMs = 900;
+const coordinatorTimeoutMs = 900;
 
 /** Interval at which the store is asked while no coordinator answers, milliseconds. */
-const storePollMs = 400;
+const storePollIntervalMs = 400;
 
 /** Interval at which it is asked while it does not answer, milliseconds: as long as a call may take. */
-const storeAwayPollMs = 800;
+const unavailableStorePollIntervalMs = 800;
 
 /** Time by which the VM of least capacity waits longer to coordinate, milliseconds. */
-const weakestWaitMs = 1000;
+const maxElectionDelayMs = 1000;
 
 /** Time without renewal after which a coordinator looks for a VM that reaches the store, milliseconds. */
-const offerAfterMs = 2200;
+const offerThresholdMs = 2200;
 
 /** Time within which a VM that may take over has to reach the store, milliseconds. */
 const offerTimeoutMs = 400;
@@ -53,16 +53,16 @@
 const offerIntervalMs = 500;
 
 /** Least time for which a coordinator stays, milliseconds. */
-const leastHoldMs = 3000;
+const minTenureMs = 3000;
 
 /** Time for which a VM that was too slow does not coordinate again, milliseconds. */
-const restMs = 15_000;
+const slowVmBackoffMs = 15_000;
 
 /** Time for which a VM that follows the store waits for a version that another has, milliseconds. */
-const followerPatienceMs = 300;
+const followerWaitMs = 300;
 
 /** Time for which a VM that leaves goes on with a change of primary, milliseconds: a promotion with its preparation. */
-const handOverMs = 2500;
+const handOverTimeoutMs = 2500;
 
 /** Least time between two readings of the configuration, milliseconds: versions that follow each other quickly are read as one. */
 const refreshIntervalMs = 500;
@@ -71,25 +71,25 @@
 const callTimeoutMs = 800;
 
 /** Time without a heartbeat after which the coordinator drops a VM's row, milliseconds. */
-const memberGoneMs = 20_000;
+const memberTimeoutMs = 20_000;
 
 /** Interval at which the coordinator looks at the members, milliseconds. */
-const memberCheckMs = 5000;
+const memberCheckIntervalMs = 5000;
 
 /** What a VM keeps its place among the others with. */
-export type ClusterMemberParts = {
+export type ClusterMemberDependencies = {
 	readonly identity: GatewayIdentity;
-	readonly duty: DutyKeeper;
+	readonly coordinatorLease: CoordinatorLease;
 	readonly coordinator: Coordinator;
 	readonly promoter: Promoter;
 	readonly terms: TermRegistry;
 	readonly configuration: ConfigurationView;
-	readonly keeper: ConfigurationKeeper;
+	readonly configurationWatcher: ConfigurationKeeper;
 	readonly instances: InstanceRegistry;
-	readonly instanceKeeper: InstanceKeeper;
+	readonly instanceWatcher: InstanceKeeper;
 	readonly dispatcher: Dispatcher;
 	readonly limiter: AccountLimiter;
-	readonly table: CoordinationTable;
+	readonly store: CoordinationTable;
 	readonly network: PeerNetwork;
 	readonly clock: Clock;
 	readonly log: DecisionLog;
@@ -103,71 +103,71 @@
 	#link: PeerLink | undefined;
 	#linkAddress = '';
 	/** Address of the coordinator as another VM told it. */
-	#hint: string | undefined;
+	#coordinatorHint: string | undefined;
 	/** Time at which such an address was last followed at once. */
-	#hintedAt = Number.NEGATIVE_INFINITY;
+	#hintFollowedAt = Number.NEGATIVE_INFINITY;
 	#linkOpenedAt = Number.NEGATIVE_INFINITY;
-	#coordinator: DutyRow | undefined;
+	#coordinatorRow: CoordinatorRow | undefined;
 	#registeredVersion = 0;
 	#isRegistered = false;
-	#sentAt = Number.NEGATIVE_INFINITY;
-	#answeredAt = Number.NEGATIVE_INFINITY;
-	#polledAt = Number.NEGATIVE_INFINITY;
-	#isPolling = false;
+	#heartbeatSentAt = Number.NEGATIVE_INFINITY;
+	#coordinatorAnsweredAt = Number.NEGATIVE_INFINITY;
+	#storePolledAt = Number.NEGATIVE_INFINITY;
+	#isPollingStore = false;
 	/** Time at which a newer configuration was last asked for. */
-	#refreshedAt = Number.NEGATIVE_INFINITY;
-	#isStoreAway = false;
+	#configurationRefreshedAt = Number.NEGATIVE_INFINITY;
+	#isStoreUnavailable = false;
 	/** Pause until the store is asked again. */
-	#pollPauseMs = storePollMs;
-	#checkedMembersAt = 0;
-	#isUrgent = false;
-	#isPushDue = false;
+	#storePollIntervalMs = storePollIntervalMs;
+	#membersCheckedAt = 0;
+	#isHeartbeatUrgent = false;
+	#isReportPushDue = false;
 	#isLeaving = false;
 	#vacantSince: number | undefined;
-	#restUntil = 0;
+	#ineligibleUntil = 0;
 	#offeredAt = 0;
 	#isFollower = false;
 	#instanceRevision: string | undefined;
 
-	readonly #lag = new LagMonitor(tickMs);
-	readonly #heartbeats: HeartbeatWriter;
-	readonly #tokens: TokenChannel;
+	readonly #lagMonitor = new EventLoopLagMonitor(tickIntervalMs);
+	readonly #heartbeatBuilder: HeartbeatBuilder;
+	readonly #tokenClient: TokenClient;
 
-	constructor(private readonly parts: ClusterMemberParts) {
-		this.#heartbeats = new HeartbeatWriter(parts);
-		this.#tokens = new TokenChannel(parts.identity.vm);
-		parts.terms.onChanged(() => {
-			this.#isUrgent = true;
+	constructor(private readonly dependencies: ClusterMemberDependencies) {
+		this.#heartbeatBuilder = new HeartbeatBuilder(dependencies);
+		this.#tokenClient = new TokenClient(dependencies.identity.vm);
+		dependencies.terms.onChanged(() => {
+			this.#isHeartbeatUrgent = true;
 			setImmediate(() => {
-				if (!parts.duty.isHeld()) {
-					this.#sendHeartbeat(parts.clock.now());
+				if (!dependencies.coordinatorLease.isHeld()) {
+					this.#sendHeartbeat(dependencies.clock.now());
 				}
 			});
 		});
-		parts.limiter.setChannel(async wants => this.#requestTokens(wants));
-		parts.keeper.onApplied(() => {
-			if (parts.duty.isHeld()) {
-				parts.coordinator.pushReports();
+		dependencies.limiter.setChannel(async wants => this.#requestTokens(wants));
+		dependencies.configurationWatcher.onApplied(() => {
+			if (dependencies.coordinatorLease.isHeld()) {
+				dependencies.coordinator.pushReports();
 			}
 		});
-		parts.instances.onChanged(() => {
-			if (parts.duty.isHeld()) {
-				this.#tellInstances();
-				this.#isPushDue = true;
+		dependencies.instances.onChanged(() => {
+			if (dependencies.coordinatorLease.isHeld()) {
+				this.#publishInstances();
+				this.#isReportPushDue = true;
 			}
 		});
 	}
 
 	async start(): Promise<void> {
-		this.#server = await this.parts.network.listen(this.parts.identity.peerAddress, link => ({
+		this.#server = await this.dependencies.network.listen(this.dependencies.identity.peerAddress, link => ({
 			onMessage: message => {
-				this.#receiveFromPeer(link, message);
+				this.#handlePeerMessage(link, message);
 			},
 			onClosed() {
 				// The next heartbeat comes on another link.
 			},
 		}));
-		this.#schedule();
+		this.#scheduleTick();
 	}
 
 	stop(): void {
@@ -179,137 +179,137 @@
 	/** Hands the coordination to another VM, unless a change of primary is under way. */
 	async handOver(): Promise<void> {
 		this.#isLeaving = true;
-		const deadline = this.parts.clock.now() + handOverMs;
-		while (this.parts.duty.isHeld() && this.parts.clock.now() < deadline) {
+		const deadline = this.dependencies.clock.now() + handOverTimeoutMs;
+		while (this.dependencies.coordinatorLease.isHeld() && this.dependencies.clock.now() < deadline) {
 			// Whoever accepts goes on where this VM stops.
-			this.parts.coordinator.offerDuty();
+			this.dependencies.coordinator.offerHandOver();
 			await new Promise(resolve => {
 				setTimeout(resolve, offerIntervalMs);
 			});
 		}
 
-		await this.parts.duty.resign();
+		await this.dependencies.coordinatorLease.resign();
 	}
 
 	/** Removes this VM from the members, so that nobody waits for it. */
 	async leave(): Promise<void> {
-		await this.parts.duty.resign();
+		await this.dependencies.coordinatorLease.resign();
 		if (this.#isRegistered) {
-			await this.parts.table.writeSharedRows([{key: getMemberKey(this.parts.identity.vm), expectedVersion: this.#registeredVersion, value: undefined}], callTimeoutMs);
+			await this.dependencies.store.writeSharedRows([{key: getMemberKey(this.dependencies.identity.vm), expectedVersion: this.#registeredVersion, value: undefined}], callTimeoutMs);
 		}
 	}
 
-	#schedule(): void {
+	#scheduleTick(): void {
 		this.#timer = setTimeout(() => {
-			this.#tick();
-			this.#schedule();
-		}, tickMs);
+			this.#runTick();
+			this.#scheduleTick();
+		}, tickIntervalMs);
 	}
 
-	#tick(): void {
-		const now = this.parts.clock.now();
-		this.#watchLag(now);
-		this.parts.terms.watchLease();
-		if (this.parts.duty.isHeld()) {
-			this.#coordinate(now);
+	#runTick(): void {
+		const now = this.dependencies.clock.now();
+		this.#resignIfSlow(now);
+		this.dependencies.terms.logLeaseLoss();
+		if (this.dependencies.coordinatorLease.isHeld()) {
+			this.#runCoordinatorTick(now);
 			return;
 		}
 
 		this.#sendHeartbeat(now);
-		const isAlone = now - this.#answeredAt > coordinatorSilentMs;
-		this.parts.instanceKeeper.setReading(isAlone);
+		const isAlone = now - this.#coordinatorAnsweredAt > coordinatorTimeoutMs;
+		this.dependencies.instanceWatcher.setReading(isAlone);
 		if (isAlone) {
 			this.#instanceRevision = undefined;
 			// A VM that another one named and that does not answer is forgotten.
-			this.#hint = now - this.#linkOpenedAt > coordinatorSilentMs ? undefined : this.#hint;
-			this.parts.keeper.setFollowing(true);
+			this.#coordinatorHint = now - this.#linkOpenedAt > coordinatorTimeoutMs ? undefined : this.#coordinatorHint;
+			this.dependencies.configurationWatcher.setFollowing(true);
 		}
 
-		if (isAlone && now - this.#polledAt > this.#pollPauseMs && !this.#isPolling) {
+		if (isAlone && now - this.#storePolledAt > this.#storePollIntervalMs && !this.#isPollingStore) {
 			void this.#pollStore();
 		}
 	}
 
-	#coordinate(now: number): void {
+	#runCoordinatorTick(now: number): void {
 		this.#link?.close();
 		this.#link = undefined;
-		this.parts.instanceKeeper.setReading(true);
-		this.parts.keeper.setFollowing(true);
-		this.parts.terms.confirm(this.parts.terms.getMoment());
-		if (now - this.#sentAt >= heartbeatMs) {
-			this.#sentAt = now;
-			this.#applyReport(this.parts.coordinator.receiveHeartbeat(this.#heartbeats.createHeartbeat(this.#instanceRevision), undefined));
+		this.dependencies.instanceWatcher.setReading(true);
+		this.dependencies.configurationWatcher.setFollowing(true);
+		this.dependencies.terms.renewLease(this.dependencies.terms.getClockReading());
+		if (now - this.#heartbeatSentAt >= heartbeatIntervalMs) {
+			this.#heartbeatSentAt = now;
+			this.#applyReport(this.dependencies.coordinator.handleHeartbeat(this.#heartbeatBuilder.createHeartbeat(this.#instanceRevision), undefined));
 		}
 
-		if (this.#isPushDue) {
-			this.#isPushDue = false;
-			this.parts.coordinator.pushReports();
+		if (this.#isReportPushDue) {
+			this.#isReportPushDue = false;
+			this.dependencies.coordinator.pushReports();
 		}
 
-		void this.parts.duty.renew();
-		if (this.parts.duty.getUnrenewedMs() > offerAfterMs && now - this.#offeredAt > offerIntervalMs && !this.parts.promoter.isBusy) {
+		void this.dependencies.coordinatorLease.renewIfDue();
+		if (this.dependencies.coordinatorLease.getMsSinceRenewal() > offerThresholdMs && now - this.#offeredAt > offerIntervalMs && !this.dependencies.promoter.isReplacingPrimary) {
 			this.#offeredAt = now;
-			this.parts.coordinator.offerDuty();
+			this.dependencies.coordinator.offerHandOver();
 		}
 
-		this.parts.promoter.sweep();
-		if (now - this.#checkedMembersAt > memberCheckMs) {
-			this.#checkedMembersAt = now;
-			void this.#checkMembers();
+		this.dependencies.promoter.checkGroups();
+		if (now - this.#membersCheckedAt > memberCheckIntervalMs) {
+			this.#membersCheckedAt = now;
+			void this.#refreshMembers();
 		}
 	}
 
-	async #checkMembers(): Promise<void> {
-		const result = await this.parts.table.readSharedRows(callTimeoutMs);
+	async #refreshMembers(): Promise<void> {
+		const result = await this.dependencies.store.readSharedRows(callTimeoutMs);
 		if (result.kind === 'failed') {
 			return;
 		}
 
-		const {members} = parseSharedRows(result.value, this.parts.log);
-		this.parts.coordinator.setRegistered(new Set(members.keys()));
-		for (const vm of this.parts.coordinator.getSilent(memberGoneMs)) {
+		const {members} = parseSharedRows(result.value, this.dependencies.log);
+		this.dependencies.coordinator.setRegisteredVms(new Set(members.keys()));
+		for (const vm of this.dependencies.coordinator.getSilentVms(memberTimeoutMs)) {
 			const row = members.get(vm);
-			if (row !== undefined && await this.parts.duty.writeRows([{key: getMemberKey(vm), expectedVersion: row.version, value: undefined}]) !== undefined) {
-				this.parts.log.logEvent('member.removed', {member: vm, silentMs: memberGoneMs});
-				this.parts.coordinator.removeMember(vm);
+			if (row !== undefined && await this.dependencies.coordinatorLease.writeRowsIfHeld([{key: getMemberKey(vm), expectedVersion: row.version, value: undefined}]) !== undefined) {
+				this.dependencies.log.logEvent('member.removed', {member: vm, silentMs: memberTimeoutMs});
+				this.dependencies.coordinator.removeMember(vm);
 			}
 		}
 	}
 
 	#sendHeartbeat(now: number): void {
-		const address = this.#hint ?? this.#coordinator?.address ?? this.#chooseSeed(now);
-		if (address === undefined || address === this.parts.identity.peerAddress) {
+		const address = this.#coordinatorHint ?? this.#coordinatorRow?.address ?? this.#chooseSeed(now);
+		if (address === undefined || address === this.dependencies.identity.peerAddress) {
 			return;
 		}
 
-		const interval = this.#isUrgent ? hastyHeartbeatMs : heartbeatMs;
-		if (now - this.#sentAt < interval) {
+		const interval = this.#isHeartbeatUrgent ? urgentHeartbeatIntervalMs : heartbeatIntervalMs;
+		if (now - this.#heartbeatSentAt < interval) {
 			return;
 		}
 
-		this.#sentAt = now;
-		if (this.#link?.isOpen !== true || this.#linkAddress !== address || now - Math.max(this.#answeredAt, this.#linkOpenedAt) > coordinatorSilentMs) {
+		this.#heartbeatSentAt = now;
+		if (this.#link?.isOpen !== true || this.#linkAddress !== address || now - Math.max(this.#coordinatorAnsweredAt, this.#linkOpenedAt) > coordinatorTimeoutMs) {
 			this.#openLink(address, now);
 		}
 
-		this.#link?.send(this.#heartbeats.createHeartbeat(this.#instanceRevision));
+		this.#link?.send(this.#heartbeatBuilder.createHeartbeat(this.#instanceRevision));
 		// A closing term waits for this VM: it tells soon that its writes are done.
-		this.#isUrgent = this.#heartbeats.isDraining();
+		this.#isHeartbeatUrgent = this.#heartbeatBuilder.isDraining();
 	}
 
 	/** Returns a VM that may know the coordinator, while the store tells nothing. */
 	#chooseSeed(now: number): string | undefined {
-		const seeds = this.parts.getSettings().seeds.filter(seed => seed !== this.parts.identity.peerAddress);
-		return seeds.length === 0 ? undefined : seeds[Math.floor(now / coordinatorSilentMs) % seeds.length];
+		const seeds = this.dependencies.getSettings().seeds.filter(seed => seed !== this.dependencies.identity.peerAddress);
+		return seeds.length === 0 ? undefined : seeds[Math.floor(now / coordinatorTimeoutMs) % seeds.length];
 	}
 
 	#openLink(address: string, now: number): void {
 		this.#link?.close();
 		this.#linkAddress = address;
 		this.#linkOpenedAt = now;
-		const link = this.parts.network.connect(address, {
+		const link = this.dependencies.network.connect(address, {
 			onMessage: message => {
-				this.#receiveFromCoordinator(message);
+				this.#handleCoordinatorMessage(message);
 			},
 			onClosed() {
 				// The next heartbeat opens another link.
@@ -318,17 +318,17 @@
 		this.#link = link;
 	}
 
-	#receiveFromPeer(link: PeerLink, message: ReturnType<typeof parsePeerMessage>): void {
+	#handlePeerMessage(link: PeerLink, message: ReturnType<typeof parsePeerMessage>): void {
 		switch (message.kind) {
 			case 'heartbeat': {
-				this.#receiveHeartbeat(link, message);
+				this.#handleHeartbeat(link, message);
 				return;
 			}
 
 			case 'token-request': {
-				link.send(this.parts.duty.isHeld()
-					? {kind: 'token-grant', sequence: message.sequence, grants: this.parts.coordinator.issueTokens(message.vm, message.wants)}
-					: {kind: 'not-coordinator', coordinator: this.#coordinator?.address});
+				link.send(this.dependencies.coordinatorLease.isHeld()
+					? {kind: 'token-grant', sequence: message.sequence, grants: this.dependencies.coordinator.issueTokens(message.vm, message.wants)}
+					: {kind: 'not-coordinator', coordinator: this.#coordinatorRow?.address});
 				return;
 			}
 
@@ -338,7 +338,7 @@
 			}
 
 			case 'configuration-reply': {
-				this.parts.keeper.applyEncoded(message.encoded, 'peer');
+				this.dependencies.configurationWatcher.applyEncoded(message.encoded, 'peer');
 				return;
 			}
 
@@ -348,7 +348,7 @@
 			}
 
 			case 'invalid': {
-				this.parts.log.logEvent('peer.invalid', {reason: message.reason});
+				this.dependencies.log.logEvent('peer.invalid', {reason: message.reason});
 				link.close();
 				return;
 			}
@@ -357,19 +357,19 @@
 			case 'offer':
 			case 'report':
 			case 'token-grant': {
-				this.parts.log.logEvent('peer.unexpected', {message: message.kind});
+				this.dependencies.log.logEvent('peer.unexpected', {message: message.kind});
 			}
 		}
 	}
 
-	#receiveHeartbeat(link: PeerLink, heartbeat: Heartbeat): void {
-		if (!this.parts.duty.isHeld()) {
-			link.send({kind: 'not-coordinator', coordinator: this.#coordinator?.address});
+	#handleHeartbeat(link: PeerLink, heartbeat: Heartbeat): void {
+		if (!this.dependencies.coordinatorLease.isHeld()) {
+			link.send({kind: 'not-coordinator', coordinator: this.#coordinatorRow?.address});
 			return;
 		}
 
-		link.send(this.parts.coordinator.receiveHeartbeat(heartbeat, link));
-		if (heartbeat.configurationVersion > this.parts.configuration.version) {
+		link.send(this.dependencies.coordinator.handleHeartbeat(heartbeat, link));
+		if (heartbeat.configurationVersion > this.dependencies.configuration.version) {
 			link.send({kind: 'configuration-request'});
 		}
 	}
@@ -378,70 +378,70 @@
 	async #handOverTo(link: PeerLink, vm: string, address: string): Promise<void> {
 		if (!this.#isLeaving) {
 			// The store may be back for this VM as well.
-			await this.parts.duty.renewNow();
+			await this.dependencies.coordinatorLease.renew();
 		}
 
-		if (this.parts.duty.isHeld() && (this.#isLeaving || this.parts.duty.getUnrenewedMs() > offerAfterMs) && !this.parts.promoter.isBusy) {
-			this.parts.log.logEvent('coordinator.handed-over', {to: vm, unrenewedMs: Math.round(this.parts.duty.getUnrenewedMs())});
-			this.parts.duty.yieldDuty();
+		if (this.dependencies.coordinatorLease.isHeld() && (this.#isLeaving || this.dependencies.coordinatorLease.getMsSinceRenewal() > offerThresholdMs) && !this.dependencies.promoter.isReplacingPrimary) {
+			this.dependencies.log.logEvent('coordinator.handed-over', {to: vm, unrenewedMs: Math.round(this.dependencies.coordinatorLease.getMsSinceRenewal())});
+			this.dependencies.coordinatorLease.stepDown();
 			link.send({kind: 'offer', step: 'take-over'});
-			this.#hint = address;
-			this.parts.coordinator.announceSuccessor(address);
+			this.#coordinatorHint = address;
+			this.dependencies.coordinator.announceSuccessor(address);
 		}
 	}
 
 	/** Answers a coordinator that the store turns away. */
-	async #receiveOffer(step: 'ask' | 'take-over'): Promise<void> {
-		const at = this.parts.terms.getMoment();
-		const result = await this.parts.table.readSharedRows(offerTimeoutMs);
+	async #handleOffer(step: 'ask' | 'take-over'): Promise<void> {
+		const at = this.dependencies.terms.getClockReading();
+		const result = await this.dependencies.store.readSharedRows(offerTimeoutMs);
 		if (result.kind === 'failed' || !this.#isRegistered || this.#isLeaving) {
 			return;
 		}
 
-		const state = parseSharedRows(result.value, this.parts.log);
+		const state = parseSharedRows(result.value, this.dependencies.log);
 		if (step === 'ask') {
-			this.#link?.send({kind: 'acceptance', vm: this.parts.identity.vm, address: this.parts.identity.peerAddress});
-		} else if (state.duty?.address === this.#linkAddress && await this.parts.duty.takeOver(state.duty)) {
-			this.parts.coordinator.setRegistered(new Set(state.members.keys()));
-			this.#tellInstances();
+			this.#link?.send({kind: 'acceptance', vm: this.dependencies.identity.vm, address: this.dependencies.identity.peerAddress});
+		} else if (state.coordinator?.address === this.#linkAddress && await this.dependencies.coordinatorLease.tryAcquire(state.coordinator)) {
+			this.dependencies.coordinator.setRegisteredVms(new Set(state.members.keys()));
+			this.#publishInstances();
 			for (const term of state.terms.values()) {
-				this.parts.terms.applyTerm(term);
+				this.dependencies.terms.applyTerm(term);
 			}
 
-			this.parts.terms.confirm(at);
+			this.dependencies.terms.renewLease(at);
 		}
 	}
 
 	#sendConfiguration(link: PeerLink | undefined): void {
-		const {encoded} = this.parts.keeper;
+		const {encoded} = this.dependencies.configurationWatcher;
 		if (encoded !== undefined) {
-			link?.send({kind: 'configuration-reply', version: this.parts.configuration.version, encoded});
+			link?.send({kind: 'configuration-reply', version: this.dependencies.configuration.version, encoded});
 		}
 	}
 
-	#receiveFromCoordinator(message: ReturnType<typeof parsePeerMessage>): void {
+	#handleCoordinatorMessage(message: ReturnType<typeof parsePeerMessage>): void {
 		switch (message.kind) {
 			case 'report': {
-				this.#receiveReport(message);
+				this.#handleReport(message);
 				return;
 			}
 
 			case 'configuration-reply': {
-				this.parts.keeper.applyEncoded(message.encoded, 'peer');
+				this.dependencies.configurationWatcher.applyEncoded(message.encoded, 'peer');
 				return;
 			}
 
 			case 'not-coordinator': {
-				this.#answeredAt = Number.NEGATIVE_INFINITY;
-				this.#hint = message.coordinator === this.#linkAddress ? undefined : message.coordinator;
+				this.#coordinatorAnsweredAt = Number.NEGATIVE_INFINITY;
+				this.#coordinatorHint = message.coordinator === this.#linkAddress ? undefined : message.coordinator;
 				// VMs that name each other are not asked in turns without a pause.
-				this.#isUrgent = this.#hint !== undefined && this.parts.clock.now() - this.#hintedAt > heartbeatMs;
-				this.#hintedAt = this.#isUrgent ? this.parts.clock.now() : this.#hintedAt;
+				this.#isHeartbeatUrgent = this.#coordinatorHint !== undefined && this.dependencies.clock.now() - this.#hintFollowedAt > heartbeatIntervalMs;
+				this.#hintFollowedAt = this.#isHeartbeatUrgent ? this.dependencies.clock.now() : this.#hintFollowedAt;
 				return;
 			}
 
 			case 'token-grant': {
-				this.#tokens.receive(message.sequence, message.grants);
+				this.#tokenClient.handleGrants(message.sequence, message.grants);
 				return;
 			}
 
@@ -451,7 +451,7 @@
 			}
 
 			case 'offer': {
-				void this.#receiveOffer(message.step);
+				void this.#handleOffer(message.step);
 				return;
 			}
 
@@ -459,22 +459,22 @@
 			case 'heartbeat':
 			case 'invalid':
 			case 'token-request': {
-				this.parts.log.logEvent('peer.unexpected', {message: message.kind});
+				this.dependencies.log.logEvent('peer.unexpected', {message: message.kind});
 			}
 		}
 	}
 
-	#receiveReport(report: CoordinatorReport): void {
-		const now = this.parts.clock.now();
+	#handleReport(report: CoordinatorReport): void {
+		const now = this.dependencies.clock.now();
 		for (const term of report.terms ?? []) {
-			this.parts.terms.applyTerm(term);
+			this.dependencies.terms.applyTerm(term);
 		}
 
-		this.parts.duty.observeVersion(report.dutyRevision);
-		const sentAt = this.#heartbeats.observeReport(report);
+		this.dependencies.coordinatorLease.observeVersion(report.dutyRevision);
+		const sentAt = this.#heartbeatBuilder.recordReport(report);
 		// What is left out here the next report tells again.
-		if (report.configurationVersion > this.parts.configuration.version && now - this.#refreshedAt >= refreshIntervalMs) {
-			this.#refreshedAt = now;
+		if (report.configurationVersion > this.dependencies.configuration.version && now - this.#configurationRefreshedAt >= refreshIntervalMs) {
+			this.#configurationRefreshedAt = now;
 			void this.#refreshConfiguration(report.configurationVersion);
 		}
 
@@ -483,30 +483,30 @@
 			return;
 		}
 
-		this.#answeredAt = now;
+		this.#coordinatorAnsweredAt = now;
 		// Whoever answers coordinates, however this VM came to ask it.
-		this.#hint = this.#linkAddress;
-		this.parts.terms.confirm(sentAt);
+		this.#coordinatorHint = this.#linkAddress;
+		this.dependencies.terms.renewLease(sentAt);
 		for (const [group, {position, ageMs}] of Object.entries(report.positions)) {
-			this.parts.terms.observePosition(group, position, sentAt.monotonicMs - ageMs);
+			this.dependencies.terms.recordPosition(group, position, sentAt.monotonicMs - ageMs);
 		}
 	}
 
 	/** Lets the coordinator tell the instances that this VM knows, if it knows any list. */
-	#tellInstances(): void {
-		if (this.parts.instances.appliedAt !== undefined) {
-			this.parts.coordinator.setInstances([...this.parts.instances.getAll()], this.parts.clock.now());
+	#publishInstances(): void {
+		if (this.dependencies.instances.appliedAt !== undefined) {
+			this.dependencies.coordinator.setInstances([...this.dependencies.instances.getAll()], this.dependencies.clock.now());
 		}
 	}
 
 	/** Gets a newer configuration: from the store, or from the coordinator when the store turns this VM away. */
 	async #refreshConfiguration(version: number): Promise<void> {
 		const isFollower = this.#isFollower;
-		if (isFollower || !await this.parts.keeper.refresh(version)) {
+		if (isFollower || !await this.dependencies.configurationWatcher.refresh(version)) {
 			await new Promise(resolve => {
-				setTimeout(resolve, isFollower ? followerPatienceMs : 0);
+				setTimeout(resolve, isFollower ? followerWaitMs : 0);
 			});
-			if (this.parts.configuration.version < version) {
+			if (this.dependencies.configuration.version < version) {
 				this.#link?.send({kind: 'configuration-request'});
 			}
 		}
@@ -514,119 +514,119 @@
 
 	#applyReport(report: CoordinatorReport): void {
 		this.#isFollower = report.isFollower;
-		this.parts.limiter.setMembers(report.members);
-		this.parts.dispatcher.setMembers(report.members);
-		this.parts.keeper.setFollowing(report.isFollower);
-		if (report.instances !== undefined && !this.parts.duty.isHeld()) {
+		this.dependencies.limiter.setMembers(report.members);
+		this.dependencies.dispatcher.setMembers(report.members);
+		this.dependencies.configurationWatcher.setFollowing(report.isFollower);
+		if (report.instances !== undefined && !this.dependencies.coordinatorLease.isHeld()) {
 			this.#instanceRevision = report.instances.revision;
-			this.parts.instanceKeeper.applyReported(report.instances.entries);
+			this.dependencies.instanceWatcher.applyReported(report.instances.entries);
 		}
 	}
 
 	/** Asks the coordinator for tokens; undefined when it does not answer in time. */
 	async #requestTokens(wants: TokenDemands): Promise<TokenGrants | undefined> {
-		if (this.parts.duty.isHeld()) {
-			return this.parts.coordinator.issueTokens(this.parts.identity.vm, wants);
+		if (this.dependencies.coordinatorLease.isHeld()) {
+			return this.dependencies.coordinator.issueTokens(this.dependencies.identity.vm, wants);
 		}
 
-		if (this.#link?.isOpen !== true || this.parts.clock.now() - this.#answeredAt > coordinatorSilentMs) {
+		if (this.#link?.isOpen !== true || this.dependencies.clock.now() - this.#coordinatorAnsweredAt > coordinatorTimeoutMs) {
 			return undefined;
 		}
 
-		return this.#tokens.request(this.#link, wants);
+		return this.#tokenClient.requestTokens(this.#link, wants);
 	}
 
 	async #pollStore(): Promise<void> {
-		this.#isPolling = true;
-		this.#polledAt = this.parts.clock.now();
+		this.#isPollingStore = true;
+		this.#storePolledAt = this.dependencies.clock.now();
 		try {
 			if (!this.#isRegistered) {
-				await this.#register();
+				await this.#registerMember();
 			}
 
-			const at = this.parts.terms.getMoment();
-			const result = await this.parts.table.readSharedRows(callTimeoutMs);
-			this.#pollPauseMs = result.kind === 'ok' ? storePollMs : storeAwayPollMs;
+			const at = this.dependencies.terms.getClockReading();
+			const result = await this.dependencies.store.readSharedRows(callTimeoutMs);
+			this.#storePollIntervalMs = result.kind === 'ok' ? storePollIntervalMs : unavailableStorePollIntervalMs;
 			if (result.kind === 'ok') {
-				await this.#applyState(parseSharedRows(result.value, this.parts.log), at);
-			} else if (this.#answeredAt < at.monotonicMs) {
+				await this.#applySharedState(parseSharedRows(result.value, this.dependencies.log), at);
+			} else if (this.#coordinatorAnsweredAt < at.monotonicMs) {
 				// The row that was read last may be old: other VMs may know better.
-				this.#coordinator = undefined;
+				this.#coordinatorRow = undefined;
 			}
 
-			this.#observeStore(result.kind === 'ok', result.kind === 'ok' ? '' : `${result.failure.reason}: ${result.failure.message}`);
+			this.#recordStoreState(result.kind === 'ok', result.kind === 'ok' ? '' : `${result.failure.reason}: ${result.failure.message}`);
 		} finally {
-			this.#isPolling = false;
+			this.#isPollingStore = false;
 		}
 	}
 
-	#observeStore(isThere: boolean, why: string): void {
-		if (this.#isStoreAway === isThere) {
-			this.#isStoreAway = !isThere;
-			this.parts.log.logEvent(isThere ? 'store.regained' : 'store.lost', {call: 'shared rows', why});
+	#recordStoreState(isThere: boolean, why: string): void {
+		if (this.#isStoreUnavailable === isThere) {
+			this.#isStoreUnavailable = !isThere;
+			this.dependencies.log.logEvent(isThere ? 'store.regained' : 'store.lost', {call: 'shared rows', why});
 		}
 	}
 
 	/** Lets VMs of more capacity go first: the coordinator answers all others. */
-	#isTurn(): boolean {
-		const now = this.parts.clock.now();
+	#hasElectionDelayPassed(): boolean {
+		const now = this.dependencies.clock.now();
 		this.#vacantSince ??= now;
-		return now - this.#vacantSince >= (1 - this.parts.getSettings().capacity) * weakestWaitMs;
+		return now - this.#vacantSince >= (1 - this.dependencies.getSettings().capacity) * maxElectionDelayMs;
 	}
 
 	/** Gives the coordination up when this process is too slow to answer the others. */
-	#watchLag(now: number): void {
-		this.#lag.observe(now);
-		const {duty, promoter, coordinator, log} = this.parts;
-		if (this.#lag.isSlow() && duty.isHeld() && !promoter.isBusy && coordinator.countHeard() > 1 && now - duty.tookOverAt > leastHoldMs) {
-			log.logEvent('coordinator.slow', {lagMs: Math.round(this.#lag.lagMs)});
-			this.#lag.reset();
-			this.#restUntil = now + restMs;
-			void this.parts.duty.resign();
+	#resignIfSlow(now: number): void {
+		this.#lagMonitor.recordTick(now);
+		const {coordinatorLease: duty, promoter, coordinator, log} = this.dependencies;
+		if (this.#lagMonitor.isSlow() && duty.isHeld() && !promoter.isReplacingPrimary && coordinator.countLiveVms() > 1 && now - duty.acquiredAt > minTenureMs) {
+			log.logEvent('coordinator.slow', {lagMs: Math.round(this.#lagMonitor.lagMs)});
+			this.#lagMonitor.reset();
+			this.#ineligibleUntil = now + slowVmBackoffMs;
+			void this.dependencies.coordinatorLease.resign();
 		}
 	}
 
-	async #register(): Promise<void> {
-		const result = await this.parts.table.readSharedRows(callTimeoutMs);
+	async #registerMember(): Promise<void> {
+		const result = await this.dependencies.store.readSharedRows(callTimeoutMs);
 		if (result.kind === 'failed') {
 			return;
 		}
 
-		const known = parseSharedRows(result.value, this.parts.log).members.get(this.parts.identity.vm);
-		const value = JSON.stringify({address: this.parts.identity.peerAddress, zone: this.parts.identity.zone, incarnation: this.parts.identity.incarnation});
-		const written = await this.parts.table.writeSharedRows([{key: getMemberKey(this.parts.identity.vm), expectedVersion: known?.version ?? 0, value}], callTimeoutMs);
+		const known = parseSharedRows(result.value, this.dependencies.log).members.get(this.dependencies.identity.vm);
+		const value = JSON.stringify({address: this.dependencies.identity.peerAddress, zone: this.dependencies.identity.zone, incarnation: this.dependencies.identity.incarnation});
+		const written = await this.dependencies.store.writeSharedRows([{key: getMemberKey(this.dependencies.identity.vm), expectedVersion: known?.version ?? 0, value}], callTimeoutMs);
 		if (written.kind === 'ok' && written.value.isApplied) {
 			this.#isRegistered = true;
 			this.#registeredVersion = written.value.version;
-			this.parts.log.logEvent('member.registered', {version: written.value.version});
+			this.dependencies.log.logEvent('member.registered', {version: written.value.version});
 		}
 	}
 
-	async #applyState(state: SharedState, at: ClockReading): Promise<void> {
+	async #applySharedState(state: SharedState, at: ClockReading): Promise<void> {
 		for (const term of state.terms.values()) {
-			this.parts.terms.applyTerm(term);
+			this.dependencies.terms.applyTerm(term);
 		}
 
 		// Only a VM that others know of may rely on what it read: a closing term waits for the known ones.
-		this.#isRegistered = state.members.get(this.parts.identity.vm)?.incarnation === this.parts.identity.incarnation;
+		this.#isRegistered = state.members.get(this.dependencies.identity.vm)?.incarnation === this.dependencies.identity.incarnation;
 		if (this.#isRegistered) {
-			this.#registeredVersion = state.members.get(this.parts.identity.vm)!.version;
-			this.parts.terms.confirm(at);
+			this.#registeredVersion = state.members.get(this.dependencies.identity.vm)!.version;
+			this.dependencies.terms.renewLease(at);
 		}
 
-		this.parts.limiter.setMembers(state.members.size);
-		this.parts.dispatcher.setMembers(state.members.size);
-		this.#vacantSince = this.parts.duty.isVacant(state.duty) ? this.#vacantSince : undefined;
-		this.#coordinator = state.duty;
-		this.#hint = undefined;
-		if (state.duty !== undefined) {
-			this.parts.duty.resume(state.duty, at);
-			this.#tellInstances();
+		this.dependencies.limiter.setMembers(state.members.size);
+		this.dependencies.dispatcher.setMembers(state.members.size);
+		this.#vacantSince = this.dependencies.coordinatorLease.isVacant(state.coordinator) ? this.#vacantSince : undefined;
+		this.#coordinatorRow = state.coordinator;
+		this.#coordinatorHint = undefined;
+		if (state.coordinator !== undefined) {
+			this.dependencies.coordinatorLease.resume(state.coordinator, at);
+			this.#publishInstances();
 		}
 
-		if (this.#isRegistered && !this.#isLeaving && at.monotonicMs >= this.#restUntil && !this.parts.duty.isHeld() && this.parts.duty.isVacant(state.duty) && this.#isTurn() && await this.parts.duty.takeOver(state.duty)) {
-			this.parts.coordinator.setRegistered(new Set(state.members.keys()));
-			this.#tellInstances();
+		if (this.#isRegistered && !this.#isLeaving && at.monotonicMs >= this.#ineligibleUntil && !this.dependencies.coordinatorLease.isHeld() && this.dependencies.coordinatorLease.isVacant(state.coordinator) && this.#hasElectionDelayPassed() && await this.dependencies.coordinatorLease.tryAcquire(state.coordinator)) {
+			this.dependencies.coordinator.setRegisteredVms(new Set(state.members.keys()));
+			this.#publishInstances();
 		}
 	}
 }
--- a/packages/gateway/src/coordination/lag-monitor.ts
+++ b/packages/gateway/src/coordination/event-loop-lag-monitor.ts
@@ -1,14 +1,14 @@
 /** Average delay of the loop above which a VM does not coordinate, milliseconds: answers about tokens would come too late. */
-const slowLagMs = 60;
+const maxAverageLagMs = 60;
 
 /** Weight of the newest delay in the average: about a second of ticks. */
-const lagWeight = 0.05;
+const smoothingFactor = 0.05;
 
 /** Longest delay that counts, in multiples of the slow one: a single freeze is no slowness. */
-const longestFactor = 4;
+const maxSampleFactor = 4;
 
 /** Tells whether the loop of this process keeps up. */
-export class LagMonitor {
+export class EventLoopLagMonitor {
 	#observedAt: number | undefined;
 	#lagMs = 0;
 
@@ -21,14 +21,14 @@
 	}
 
 	/** Takes in that the loop came round. */
-	observe(now: number): void {
+	recordTick(now: number): void {
 		const lagMs = Math.max(0, now - (this.#observedAt ?? now) - this.intervalMs);
 		this.#observedAt = now;
-		this.#lagMs += (Math.min(lagMs, slowLagMs * longestFactor) - this.#lagMs) * lagWeight;
+		this.#lagMs += (Math.min(lagMs, maxAverageLagMs * maxSampleFactor) - this.#lagMs) * smoothingFactor;
 	}
 
 	isSlow(): boolean {
-		return this.#lagMs > slowLagMs;
+		return this.#lagMs > maxAverageLagMs;
 	}
 
 	reset(): void {
--- a/packages/gateway/src/coordination/heartbeat-writer.ts
+++ b/packages/gateway/src/coordination/heartbeat-builder.ts
@@ -7,10 +7,10 @@
 import {type GatewayIdentity} from './gateway-identity.js';
 
 /** Heartbeats whose answers may still come. */
-const keptHeartbeats = 8;
+const maxPendingHeartbeats = 8;
 
 /** What heartbeats are written from. */
-export type HeartbeatWriterParts = {
+export type HeartbeatBuilderDependencies = {
 	readonly identity: GatewayIdentity;
 	readonly terms: TermRegistry;
 	readonly configuration: ConfigurationView;
@@ -19,22 +19,22 @@
 };
 
 /** Writes what this VM tells the coordinator, and remembers when. */
-export class HeartbeatWriter {
+export class HeartbeatBuilder {
 	#sequence = 0;
 	#sent: Array<{readonly sequence: number; readonly at: ClockReading}> = [];
 	#echo: {readonly stampMs: number; readonly receivedAt: number} | undefined;
 
-	constructor(private readonly parts: HeartbeatWriterParts) {}
+	constructor(private readonly dependencies: HeartbeatBuilderDependencies) {}
 
 	/**
 	 * Writes a heartbeat that is sent now.
 	 * @param instanceRevision - List of instances that this VM was told last.
 	 */
 	createHeartbeat(instanceRevision: string | undefined): Heartbeat {
-		const {identity, terms, configuration, clock} = this.parts;
+		const {identity, terms, configuration, clock} = this.dependencies;
 		const now = clock.now();
 		this.#sequence += 1;
-		this.#sent = [...this.#sent, {sequence: this.#sequence, at: terms.getMoment()}].slice(-keptHeartbeats);
+		this.#sent = [...this.#sent, {sequence: this.#sequence, at: terms.getClockReading()}].slice(-maxPendingHeartbeats);
 		return {
 			kind: 'heartbeat',
 			vm: identity.vm,
@@ -42,7 +42,7 @@
 			sequence: this.#sequence,
 			positions: this.#createPositions(),
 			evidence: this.#createEvidence(now),
-			revisions: Object.fromEntries(terms.getTerms().map(({group}) => [group, terms.getSettledRevision(group)])),
+			revisions: Object.fromEntries(terms.getTerms().map(({group}) => [group, terms.getDrainedRevision(group)])),
 			configurationVersion: configuration.version,
 			instanceRevision,
 			echo: this.#echo === undefined ? undefined : {stampMs: this.#echo.stampMs, ageMs: now - this.#echo.receivedAt},
@@ -51,19 +51,19 @@
 
 	/** Says whether the newest heartbeat told that a closing term is still drained here. */
 	isDraining(): boolean {
-		return this.parts.terms.getTerms().some(term => this.parts.terms.getSettledRevision(term.group) !== term.revision);
+		return this.dependencies.terms.getTerms().some(term => this.dependencies.terms.getDrainedRevision(term.group) !== term.revision);
 	}
 
 	/** Takes in a report; returns when the heartbeat was sent that it answers, if it answers one. */
-	observeReport(report: CoordinatorReport): ClockReading | undefined {
-		this.#echo = {stampMs: report.stampMs, receivedAt: this.parts.clock.now()};
+	recordReport(report: CoordinatorReport): ClockReading | undefined {
+		this.#echo = {stampMs: report.stampMs, receivedAt: this.dependencies.clock.now()};
 		return this.#sent.find(heartbeat => heartbeat.sequence === report.sequence)?.at;
 	}
 
 	#createPositions(): Heartbeat['positions'] {
 		const positions: Heartbeat['positions'] = {};
-		for (const {group} of this.parts.terms.getTerms()) {
-			const position = this.parts.terms.getNewestPosition(group);
+		for (const {group} of this.dependencies.terms.getTerms()) {
+			const position = this.dependencies.terms.getNewestPosition(group);
 			if (position !== undefined) {
 				positions[group] = position;
 			}
@@ -74,8 +74,8 @@
 
 	#createEvidence(now: number): Heartbeat['evidence'] {
 		const evidence: Heartbeat['evidence'] = {};
-		for (const {group, primaryId} of this.parts.terms.getTerms()) {
-			const seen = this.parts.dispatcher.getTracker(primaryId)?.createEvidence(this.parts.identity.vm, now);
+		for (const {group, primaryId} of this.dependencies.terms.getTerms()) {
+			const seen = this.dependencies.dispatcher.getTracker(primaryId)?.createEvidence(this.dependencies.identity.vm, now);
 			if (seen !== undefined) {
 				evidence[group] = {
 					instanceId: seen.instanceId,
--- a/packages/gateway/src/coordination/shared-rows.ts
+++ b/packages/gateway/src/coordination/shared-rows.ts
@@ -5,7 +5,7 @@
 import {type SharedRow} from '../ports/index.js';
 import {type GroupTerm} from '../terms/index.js';
 
-const dutyCodec = Codec.interface({
+const coordinatorCodec = Codec.interface({
 	holder: string,
 	/** Start of the holder's process: a restarted VM is another holder. */
 	incarnation: string,
@@ -22,7 +22,7 @@
 });
 
 /** Which VM coordinates. */
-export type DutyRow = GetType<typeof dutyCodec> & {readonly version: number};
+export type CoordinatorRow = GetType<typeof coordinatorCodec> & {readonly version: number};
 
 /** A VM as it registered itself. */
 export type MemberRow = GetType<typeof memberCodec> & {readonly vm: string; readonly version: number};
@@ -32,45 +32,45 @@
 
 /** All shared rows as of one moment. */
 export type SharedState = {
-	readonly duty: DutyRow | undefined;
+	readonly coordinator: CoordinatorRow | undefined;
 	readonly members: ReadonlyMap<string, MemberRow>;
 	readonly terms: ReadonlyMap<string, GroupTerm>;
 };
 
 /** Key of the row that names the coordinator. */
-export const dutyKey = 'coordinator';
+export const coordinatorKey = 'coordinator';
 
-const memberPrefix = 'vm/';
-const termPrefix = 'group/';
+const memberKeyPrefix = 'vm/';
+const termKeyPrefix = 'group/';
 
 /** Returns the key of a VM's row. */
 export function getMemberKey(vm: string): string {
-	return `${memberPrefix}${vm}`;
+	return `${memberKeyPrefix}${vm}`;
 }
 
 /** Returns the key of a group's row. */
 export function getTermKey(group: string): string {
-	return `${termPrefix}${group}`;
+	return `${termKeyPrefix}${group}`;
 }
 
 /** Reads the shared rows; one that cannot be read is logged and left out. */
 export function parseSharedRows(rows: readonly SharedRow[], log: DecisionLog): SharedState {
-	let duty: DutyRow | undefined;
+	let duty: CoordinatorRow | undefined;
 	const members = new Map<string, MemberRow>();
 	const terms = new Map<string, GroupTerm>();
 	for (const row of rows) {
 		const value = parseValue(row);
-		if (row.key === dutyKey) {
-			const content = decodeRow(dutyCodec, row, value, log);
+		if (row.key === coordinatorKey) {
+			const content = decodeRow(coordinatorCodec, row, value, log);
 			duty = content === undefined ? duty : {...content, version: row.version};
-		} else if (row.key.startsWith(memberPrefix)) {
-			const vm = row.key.slice(memberPrefix.length);
+		} else if (row.key.startsWith(memberKeyPrefix)) {
+			const vm = row.key.slice(memberKeyPrefix.length);
 			const content = decodeRow(memberCodec, row, value, log);
 			if (content !== undefined) {
 				members.set(vm, {...content, vm, version: row.version});
 			}
-		} else if (row.key.startsWith(termPrefix)) {
-			const group = row.key.slice(termPrefix.length);
+		} else if (row.key.startsWith(termKeyPrefix)) {
+			const group = row.key.slice(termKeyPrefix.length);
 			const content = decodeRow(termCodec, row, value, log);
 			if (content !== undefined) {
 				terms.set(group, {...content, group, revision: row.version});
@@ -78,7 +78,7 @@
 		}
 	}
 
-	return {duty, members, terms};
+	return {coordinator: duty, members, terms};
 }
 
 function decodeRow<T>(codec: Codec<T>, row: SharedRow, value: unknown, log: DecisionLog): T | undefined {
--- a/packages/gateway/src/coordination/token-channel.ts
+++ b/packages/gateway/src/coordination/token-client.ts
@@ -2,18 +2,18 @@
 import {type PeerLink} from '../ports/index.js';
 
 /** Time for an answer about tokens, milliseconds: several round trips within a region. */
-const answerTimeoutMs = 150;
+const responseTimeoutMs = 150;
 
 /** Asks another VM for tokens and waits for its answers. */
-export class TokenChannel {
+export class TokenClient {
 	#sequence = 0;
-	readonly #waiting = new Map<number, (grants: TokenGrants) => void>();
+	readonly #pendingRequests = new Map<number, (grants: TokenGrants) => void>();
 
 	/** @param vm - Name of this VM. */
 	constructor(private readonly vm: string) {}
 
 	/** Asks for tokens; undefined when no answer comes in time. */
-	async request(link: PeerLink, wants: TokenDemands): Promise<TokenGrants | undefined> {
+	async requestTokens(link: PeerLink, wants: TokenDemands): Promise<TokenGrants | undefined> {
 		this.#sequence += 1;
 		const sequence = this.#sequence;
 		link.send({
@@ -21,19 +21,19 @@
 		});
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
-				this.#waiting.delete(sequence);
+				this.#pendingRequests.delete(sequence);
 				resolve(undefined);
-			}, answerTimeoutMs);
-			this.#waiting.set(sequence, grants => {
+			}, responseTimeoutMs);
+			this.#pendingRequests.set(sequence, grants => {
 				clearTimeout(timer);
-				this.#waiting.delete(sequence);
+				this.#pendingRequests.delete(sequence);
 				resolve(grants);
 			});
 		});
 	}
 
 	/** Takes in an answer; one that came too late counts for nothing. */
-	receive(sequence: number, grants: TokenGrants): void {
-		this.#waiting.get(sequence)?.(grants);
+	handleGrants(sequence: number, grants: TokenGrants): void {
+		this.#pendingRequests.get(sequence)?.(grants);
 	}
 }
--- a/packages/gateway/src/dispatch/dispatcher.ts
+++ b/packages/gateway/src/dispatch/dispatcher.ts
@@ -115,7 +115,7 @@
 		parts.terms.onChanged(term => {
 			this.#pump(term.group);
 		});
-		parts.terms.onRegained(() => {
+		parts.terms.onLeaseRegained(() => {
 			this.#pumpAll();
 		});
 		setInterval(() => {
@@ -194,7 +194,7 @@
 
 	/** Refuses what needs a primary that this VM will not be able to use for a while. */
 	#checkPrimary(request: PlaceRequest): Refusal | undefined {
-		if (request.target === 'primary' && this.parts.terms.getUnheldMs() > unheldMs) {
+		if (request.target === 'primary' && this.parts.terms.getMsWithoutLease() > unheldMs) {
 			return refusals.primaryUnavailable(request.group, unheldRetryMs * (0.5 + this.parts.random()));
 		}
 
--- a/packages/gateway/src/sessions/single-statement.ts
+++ b/packages/gateway/src/sessions/single-statement.ts
@@ -132,7 +132,7 @@
 	/** Returns the final answer, or undefined when the statement may be tried again. */
 	async #judge(operation: Operation, place: Place, result: RunResult, isWrite: boolean): Promise<OperationOutcome | undefined> {
 		if (result.kind === 'completed') {
-			if (isWrite && !await this.services.terms.waitUntilCertain(operation.route.group, place.pool.instance.id)) {
+			if (isWrite && !await this.services.terms.waitUntilWriteIsSafe(operation.route.group, place.pool.instance.id)) {
 				return {kind: 'refused', refusal: refusals.outcomeUnknown('the term ended while the write was under way')};
 			}
 
--- a/packages/gateway/src/sessions/statement-runner.ts
+++ b/packages/gateway/src/sessions/statement-runner.ts
@@ -53,7 +53,7 @@
 
 		const {clock, terms, metrics} = this.services;
 		const {pool, connection} = place;
-		if (place.isPrimary && !await terms.waitUntilUsable(operation.route.group, pool.instance.id)) {
+		if (place.isPrimary && !await terms.waitUntilPrimaryIsUsable(operation.route.group, pool.instance.id)) {
 			return {kind: 'not-run', reason: 'lease-ended', state: 'idle'};
 		}
 
@@ -109,7 +109,7 @@
 
 	#observePosition(place: Place, operation: Operation, outcome: StatementOutcome, sentAt: number): void {
 		if (place.isPrimary && outcome.kind !== 'broken' && outcome.position !== undefined) {
-			this.services.terms.observePosition(operation.route.group, outcome.position, sentAt);
+			this.services.terms.recordPosition(operation.route.group, outcome.position, sentAt);
 		}
 	}
 
--- a/packages/gateway/src/sessions/transaction.ts
+++ b/packages/gateway/src/sessions/transaction.ts
@@ -153,7 +153,7 @@
 	async #judgeCommit(place: Place, result: RunResult): Promise<TransactionAnswer> {
 		if (result.kind === 'completed') {
 			this.#giveBack(result.state === 'idle');
-			const isCertain = !this.#hasWritten || await this.services.terms.waitUntilCertain(this.operation.route.group, place.pool.instance.id);
+			const isCertain = !this.#hasWritten || await this.services.terms.waitUntilWriteIsSafe(this.operation.route.group, place.pool.instance.id);
 			return {
 				outcome: isCertain
 					? {...result, kind: 'completed', isCommit: this.#hasWritten}
--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -19,26 +19,26 @@
 export const termLeaseMs = 1500;
 
 /** Time for which a statement waits for a lease that ended, milliseconds: a clock jump ends one until the next heartbeat. */
-const regainWaitMs = 400;
+const leaseWaitTimeoutMs = 400;
 
 /** Interval at which such a statement looks, milliseconds. */
-const regainPollMs = 10;
+const leasePollIntervalMs = 10;
 
 /** Largest staleness for which positions are kept, milliseconds. */
-const keptPositionsMs = 5000;
+const positionRetentionMs = 5000;
 
 /** Knows who leads each group, and whether that may be relied on at this moment. */
 export class TermRegistry {
 	readonly #terms = new Map<string, GroupTerm>();
-	readonly #closedSince = new Map<string, number>();
+	readonly #closingSince = new Map<string, number>();
 	readonly #positions = new Map<string, PositionHistory>();
-	readonly #writes = new Map<string, number>();
-	readonly #settled = new Map<string, number>();
+	readonly #pendingWriteCounts = new Map<string, number>();
+	readonly #drainedRevisions = new Map<string, number>();
 	readonly #lease = new DualClockLease(termLeaseMs);
-	readonly #listeners: Array<(term: GroupTerm) => void> = [];
-	readonly #confirmListeners: Array<() => void> = [];
-	#wasHeld = false;
-	#confirmedAt = Number.NEGATIVE_INFINITY;
+	readonly #changeListeners: Array<(term: GroupTerm) => void> = [];
+	readonly #leaseRegainedListeners: Array<() => void> = [];
+	#wasLeaseHeld = false;
+	#leaseRenewedAt = Number.NEGATIVE_INFINITY;
 
 	readonly #startedAt: number;
 
@@ -47,12 +47,12 @@
 	}
 
 	onChanged(listener: (term: GroupTerm) => void): void {
-		this.#listeners.push(listener);
+		this.#changeListeners.push(listener);
 	}
 
 	/** Called whenever the lease was confirmed after it had ended. */
-	onRegained(listener: () => void): void {
-		this.#confirmListeners.push(listener);
+	onLeaseRegained(listener: () => void): void {
+		this.#leaseRegainedListeners.push(listener);
 	}
 
 	getTerm(group: string): GroupTerm | undefined {
@@ -64,48 +64,48 @@
 	}
 
 	/** Returns since when a group's term is closing, steady milliseconds. */
-	getClosedSince(group: string): number | undefined {
-		return this.#closedSince.get(group);
+	getClosingSince(group: string): number | undefined {
+		return this.#closingSince.get(group);
 	}
 
-	getMoment(): ClockReading {
+	getClockReading(): ClockReading {
 		return {monotonicMs: this.clock.now(), wallMs: this.clock.getWallTime()};
 	}
 
 	isLeaseHeld(): boolean {
-		return this.#lease.isHeld(this.getMoment());
+		return this.#lease.isHeld(this.getClockReading());
 	}
 
 	/** Logs once that the lease ran out. */
-	watchLease(): void {
+	logLeaseLoss(): void {
 		const isHeld = this.isLeaseHeld();
-		if (this.#wasHeld && !isHeld) {
-			this.log.logEvent('term-lease.lost', {ageMs: Math.round(this.clock.now() - this.#confirmedAt)});
+		if (this.#wasLeaseHeld && !isHeld) {
+			this.log.logEvent('term-lease.lost', {ageMs: Math.round(this.clock.now() - this.#leaseRenewedAt)});
 		}
 
-		this.#wasHeld = isHeld;
+		this.#wasLeaseHeld = isHeld;
 	}
 
 	/** Returns for how long the lease has not been held, milliseconds; from the start of the process where it never was. */
-	getUnheldMs(): number {
-		return this.isLeaseHeld() ? 0 : Math.max(0, this.clock.now() - Math.max(this.#startedAt, this.#confirmedAt + termLeaseMs));
+	getMsWithoutLease(): number {
+		return this.isLeaseHeld() ? 0 : Math.max(0, this.clock.now() - Math.max(this.#startedAt, this.#leaseRenewedAt + termLeaseMs));
 	}
 
 	getLeaseRemainingMs(): number {
-		return this.#lease.getRemainingMs(this.getMoment());
+		return this.#lease.getRemainingMs(this.getClockReading());
 	}
 
 	/**
 	 * Takes in that the terms known here were the newest ones at a moment.
 	 * @param at - Moment at which that was asked for.
 	 */
-	confirm(at: ClockReading): void {
+	renewLease(at: ClockReading): void {
 		const wasHeld = this.isLeaseHeld();
 		this.#lease.renew(at);
-		this.#confirmedAt = Math.max(this.#confirmedAt, at.monotonicMs);
+		this.#leaseRenewedAt = Math.max(this.#leaseRenewedAt, at.monotonicMs);
 		if (!wasHeld && this.isLeaseHeld()) {
 			this.log.logEvent('term-lease.taken', {ageMs: Math.round(this.clock.now() - at.monotonicMs)});
-			for (const listener of this.#confirmListeners) {
+			for (const listener of this.#leaseRegainedListeners) {
 				listener();
 			}
 		}
@@ -120,9 +120,9 @@
 
 		this.#terms.set(term.group, term);
 		if (term.phase === 'closing') {
-			this.#closedSince.set(term.group, this.#closedSince.get(term.group) ?? this.clock.now());
+			this.#closingSince.set(term.group, this.#closingSince.get(term.group) ?? this.clock.now());
 		} else {
-			this.#closedSince.delete(term.group);
+			this.#closingSince.delete(term.group);
 		}
 
 		if (known?.term !== term.term) {
@@ -133,46 +133,46 @@
 		this.log.logEvent('term.adopted', {
 			group: term.group, term: term.term, primary: term.primaryId, phase: term.phase, revision: term.revision, before: known?.revision,
 		});
-		for (const listener of this.#listeners) {
+		for (const listener of this.#changeListeners) {
 			listener(term);
 		}
 	}
 
 	/** Takes in that a write or a commit is sent to a group's primary. */
 	beginWrite(group: string): void {
-		this.#writes.set(group, (this.#writes.get(group) ?? 0) + 1);
+		this.#pendingWriteCounts.set(group, (this.#pendingWriteCounts.get(group) ?? 0) + 1);
 	}
 
 	/** Takes in that a write or a commit has its outcome. */
 	endWrite(group: string): void {
-		this.#writes.set(group, (this.#writes.get(group) ?? 0) - 1);
+		this.#pendingWriteCounts.set(group, (this.#pendingWriteCounts.get(group) ?? 0) - 1);
 	}
 
 	/** Says whether this VM no longer acts by the former term of a group that is closing. */
 	isDrained(group: string): boolean {
 		const term = this.#terms.get(group);
-		const closedSince = this.#closedSince.get(group);
-		return term === undefined || closedSince === undefined || (this.#writes.get(group) ?? 0) === 0 || this.clock.now() >= closedSince + term.drainMs;
+		const closedSince = this.#closingSince.get(group);
+		return term === undefined || closedSince === undefined || (this.#pendingWriteCounts.get(group) ?? 0) === 0 || this.clock.now() >= closedSince + term.drainMs;
 	}
 
 	/** Returns the newest revision of a group's term by which this VM acts wholly. */
-	getSettledRevision(group: string): number {
+	getDrainedRevision(group: string): number {
 		const term = this.#terms.get(group);
 		if (term === undefined || this.isDrained(group)) {
-			this.#settled.set(group, term?.revision ?? 0);
+			this.#drainedRevisions.set(group, term?.revision ?? 0);
 		}
 
-		return this.#settled.get(group) ?? 0;
+		return this.#drainedRevisions.get(group) ?? 0;
 	}
 
 	/**
 	 * Waits until it is certain that a write which a primary acknowledged is not lost to a successor.
 	 * @returns False when a successor may have been promoted before the write.
 	 */
-	async waitUntilCertain(group: string, instanceId: string): Promise<boolean> {
+	async waitUntilWriteIsSafe(group: string, instanceId: string): Promise<boolean> {
 		const term = this.#terms.get(group);
-		const isDraining = term?.phase === 'closing' && term.primaryId === instanceId && this.getSettledRevision(group) < term.revision;
-		return (isDraining && this.isLeaseHeld()) || this.waitUntilUsable(group, instanceId);
+		const isDraining = term?.phase === 'closing' && term.primaryId === instanceId && this.getDrainedRevision(group) < term.revision;
+		return (isDraining && this.isLeaseHeld()) || this.waitUntilPrimaryIsUsable(group, instanceId);
 	}
 
 	/** Returns the instance that leads a group, if that is certain now. */
@@ -190,8 +190,8 @@
 	 * Waits until an instance may be used as a group's primary.
 	 * @returns False when it leads no more, or the lease was not regained in time.
 	 */
-	async waitUntilUsable(group: string, instanceId: string): Promise<boolean> {
-		const deadline = this.clock.now() + regainWaitMs;
+	async waitUntilPrimaryIsUsable(group: string, instanceId: string): Promise<boolean> {
+		const deadline = this.clock.now() + leaseWaitTimeoutMs;
 		for (;;) {
 			const term = this.#terms.get(group);
 			if (term?.phase !== 'open' || term.primaryId !== instanceId) {
@@ -207,7 +207,7 @@
 			}
 
 			await new Promise(resolve => {
-				setTimeout(resolve, regainPollMs);
+				setTimeout(resolve, leasePollIntervalMs);
 			});
 		}
 	}
@@ -216,7 +216,7 @@
 	 * Takes in a primary's position.
 	 * @param observedAt - Steady time at which the statement was sent, under a lease.
 	 */
-	observePosition(group: string, position: LogPosition, observedAt: number): void {
+	recordPosition(group: string, position: LogPosition, observedAt: number): void {
 		if (position.term !== this.#terms.get(group)?.term) {
 			return;
 		}
@@ -238,7 +238,7 @@
 	#getPositions(group: string): PositionHistory {
 		let log = this.#positions.get(group);
 		if (log === undefined) {
-			log = new PositionHistory(keptPositionsMs);
+			log = new PositionHistory(positionRetentionMs);
 			this.#positions.set(group, log);
 		}
 
--- a/packages/gateway/src/wiring/create-gateway.ts
+++ b/packages/gateway/src/wiring/create-gateway.ts
@@ -1,6 +1,6 @@
 import {ConfigurationKeeper, ConfigurationView} from '../configuration/index.js';
 import {
-	ClusterMember, Coordinator, DutyKeeper, type GatewayIdentity, Promoter,
+	ClusterMember, Coordinator, CoordinatorLease, type GatewayIdentity, Promoter,
 } from '../coordination/index.js';
 import {Dispatcher} from '../dispatch/index.js';
 import {InstanceKeeper, InstanceRegistry} from '../instances/index.js';
@@ -51,15 +51,15 @@
 		configuration, instances, terms, connector, clock, metrics, log, zone: identity.zone, random: Math.random, getSettings,
 	});
 	const limiter = new AccountLimiter(configuration, getSettings, clock, metrics, log);
-	const duty = new DutyKeeper(table, identity, clock, log);
+	const coordinatorLease = new CoordinatorLease(table, identity, clock, log);
 	const coordinator = new Coordinator({
-		vm: identity.vm, duty, terms, configuration, clock, limitWindowMs: getSettings().limitWindowMs,
+		vm: identity.vm, coordinatorLease, terms, configuration, clock, limitWindowMs: getSettings().limitWindowMs,
 	});
 	const promoter = new Promoter({
-		vm: identity.vm, duty, coordinator, terms, instances, configuration, dispatcher, table, connector, service: promotion, clock, log, metrics,
+		vm: identity.vm, coordinatorLease, coordinator, terms, instances, configuration, dispatcher, store: table, connector, promotionService: promotion, clock, log, metrics,
 	});
 	const member = new ClusterMember({
-		identity, duty, coordinator, promoter, terms, configuration, keeper: configurationKeeper, instances, instanceKeeper, dispatcher, limiter, table, network, clock, log, getSettings,
+		identity, coordinatorLease, coordinator, promoter, terms, configuration, configurationWatcher: configurationKeeper, instances, instanceWatcher: instanceKeeper, dispatcher, limiter, store: table, network, clock, log, getSettings,
 	});
 	const services: SessionServices = {
 		configuration, dispatcher, limiter, terms, clock, log, metrics,
