--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -515,7 +515,7 @@
 	#applyReport(report: CoordinatorReport): void {
 		this.#isFollower = report.isFollower;
 		this.dependencies.limiter.setMembers(report.members);
-		this.dependencies.dispatcher.setMembers(report.members);
+		this.dependencies.dispatcher.setMemberCount(report.members);
 		this.dependencies.configurationWatcher.setFollowing(report.isFollower);
 		if (report.instances !== undefined && !this.dependencies.coordinatorLease.isHeld()) {
 			this.#instanceRevision = report.instances.revision;
@@ -615,7 +615,7 @@
 		}
 
 		this.dependencies.limiter.setMembers(state.members.size);
-		this.dependencies.dispatcher.setMembers(state.members.size);
+		this.dependencies.dispatcher.setMemberCount(state.members.size);
 		this.#vacantSince = this.dependencies.coordinatorLease.isVacant(state.coordinator) ? this.#vacantSince : undefined;
 		this.#coordinatorRow = state.coordinator;
 		this.#coordinatorHint = undefined;
--- a/packages/gateway/src/dispatch/index.ts
+++ b/packages/gateway/src/dispatch/index.ts
@@ -1,5 +1,5 @@
 export * from './pooled-connection.js';
 export * from './instance-tracker.js';
 export * from './instance-pool.js';
-export type * from './place-request.js';
+export type * from './placement.js';
 export * from './dispatcher.js';
--- a/packages/gateway/src/dispatch/instance-pool.ts
+++ b/packages/gateway/src/dispatch/instance-pool.ts
@@ -8,7 +8,7 @@
 const connectTimeoutMs = 1500;
 
 /** What a pool works with. */
-export type InstancePoolParts = {
+export type InstancePoolDependencies = {
 	readonly connector: InstanceConnector;
 	readonly clock: Clock;
 	readonly metrics: GatewayMetrics;
@@ -16,7 +16,7 @@
 	/** Returns numbers from zero up to one. */
 	readonly random: () => number;
 	/** Called when a connection is free again, or gone. */
-	readonly onFreed: () => void;
+	readonly onConnectionFreed: () => void;
 };
 
 /** Connections of this VM to one instance. */
@@ -26,8 +26,8 @@
 	#opening = 0;
 	#isClosed = false;
 
-	constructor(readonly instance: Instance, private readonly parts: InstancePoolParts) {
-		this.tracker = new InstanceTracker(instance, parts.log, parts.random);
+	constructor(readonly instance: Instance, private readonly dependencies: InstancePoolDependencies) {
+		this.tracker = new InstanceTracker(instance, dependencies.log, dependencies.random);
 	}
 
 	/** Statements and transactions that hold a connection. */
@@ -42,7 +42,7 @@
 
 	/** Describes busy and open connections, and why the instance had no room lately. */
 	describe(now: number): string {
-		const shortage = this.tracker.getShortage(now);
+		const shortage = this.tracker.getOverloadReason(now);
 		return `${this.instance.id}:${this.busyCount}/${this.connectionCount}${shortage === undefined ? '' : `:${shortage}`}`;
 	}
 
@@ -59,7 +59,7 @@
 	findIdle(account: string): PooledConnection | undefined {
 		let newest: PooledConnection | undefined;
 		for (const connection of this.#connections) {
-			if (!connection.isBusy && connection.account === account && (newest === undefined || connection.usedAt > newest.usedAt)) {
+			if (!connection.isBusy && connection.account === account && (newest === undefined || connection.lastUsedAt > newest.lastUsedAt)) {
 				newest = connection;
 			}
 		}
@@ -76,7 +76,7 @@
 		return this.connectionCount < limit || (mayEvict && this.#findEvictable() !== undefined);
 	}
 
-	take(connection: PooledConnection): void {
+	acquire(connection: PooledConnection): void {
 		connection.isBusy = true;
 	}
 
@@ -89,22 +89,22 @@
 		const evicted = this.connectionCount < limit ? undefined : this.#findEvictable();
 		if (evicted !== undefined) {
 			this.#remove(evicted);
-			evicted.connection.close();
+			evicted.instanceConnection.close();
 		}
 
 		this.#opening += 1;
-		const startedAt = this.parts.clock.now();
-		const question = this.tracker.beginQuestion('connection', startedAt);
-		const result = await this.parts.connector.open(this.instance, account, connectTimeoutMs);
-		this.tracker.endQuestion(question);
+		const startedAt = this.dependencies.clock.now();
+		const question = this.tracker.addPendingRequest('connection', startedAt);
+		const result = await this.dependencies.connector.open(this.instance, account, connectTimeoutMs);
+		this.tracker.removePendingRequest(question);
 		this.#opening -= 1;
-		const now = this.parts.clock.now();
+		const now = this.dependencies.clock.now();
 		if (result.kind === 'failed') {
 			this.#observeFailure(result.failure, startedAt, now);
 			return result.failure;
 		}
 
-		this.parts.metrics.recordDuration('connect', now - startedAt);
+		this.dependencies.metrics.recordDuration('connect', now - startedAt);
 		this.tracker.observeAnswer(now);
 		if (this.#isClosed) {
 			result.connection.close();
@@ -112,11 +112,11 @@
 		}
 
 		const connection = new PooledConnection(result.connection, account);
-		connection.usedAt = now;
+		connection.lastUsedAt = now;
 		this.#connections.add(connection);
 		result.connection.onClosed(() => {
 			this.#remove(connection);
-			this.parts.onFreed();
+			this.dependencies.onConnectionFreed();
 		});
 		return undefined;
 	}
@@ -124,21 +124,21 @@
 	/** Gives a connection back, or closes it when its state is not known. */
 	release(connection: PooledConnection, isClean: boolean): void {
 		connection.isBusy = false;
-		connection.usedAt = this.parts.clock.now();
-		if (!isClean || this.#isClosed || !connection.connection.isOpen) {
+		connection.lastUsedAt = this.dependencies.clock.now();
+		if (!isClean || this.#isClosed || !connection.instanceConnection.isOpen) {
 			this.#remove(connection);
-			connection.connection.close();
+			connection.instanceConnection.close();
 		}
 
-		this.parts.onFreed();
+		this.dependencies.onConnectionFreed();
 	}
 
 	/** Closes idle connections that were not used since a time: one that was as old went silent. */
 	closeIdleBefore(time: number): void {
 		for (const connection of this.#connections) {
-			if (!connection.isBusy && connection.usedAt < time) {
+			if (!connection.isBusy && connection.lastUsedAt < time) {
 				this.#remove(connection);
-				connection.connection.close();
+				connection.instanceConnection.close();
 			}
 		}
 	}
@@ -147,12 +147,12 @@
 	 * Closes connections that are idle for a while, down to a number.
 	 * @param kept - Connections that are kept.
 	 */
-	trim(kept: number, idleMs: number): void {
-		const now = this.parts.clock.now();
+	closeIdle(kept: number, idleMs: number): void {
+		const now = this.dependencies.clock.now();
 		for (const connection of this.#connections) {
-			if (this.connectionCount > kept && !connection.isBusy && now - connection.usedAt > idleMs) {
+			if (this.connectionCount > kept && !connection.isBusy && now - connection.lastUsedAt > idleMs) {
 				this.#remove(connection);
-				connection.connection.close();
+				connection.instanceConnection.close();
 			}
 		}
 	}
@@ -163,7 +163,7 @@
 		for (const connection of this.#connections) {
 			if (!connection.isBusy) {
 				this.#remove(connection);
-				connection.connection.close();
+				connection.instanceConnection.close();
 			}
 		}
 	}
@@ -172,14 +172,14 @@
 	abort(): void {
 		this.close();
 		for (const connection of this.#connections) {
-			connection.connection.close();
+			connection.instanceConnection.close();
 		}
 	}
 
 	#findEvictable(): PooledConnection | undefined {
 		let oldest: PooledConnection | undefined;
 		for (const connection of this.#connections) {
-			if (!connection.isBusy && (oldest === undefined || connection.usedAt < oldest.usedAt)) {
+			if (!connection.isBusy && (oldest === undefined || connection.lastUsedAt < oldest.lastUsedAt)) {
 				oldest = connection;
 			}
 		}
@@ -192,10 +192,10 @@
 	}
 
 	#observeFailure(failure: ConnectFailure, startedAt: number, now: number): void {
-		this.parts.metrics.addCount(`connect_failed_${failure.reason}`);
+		this.dependencies.metrics.addCount(`connect_failed_${failure.reason}`);
 		if (failure.reason === 'connection-limit' || failure.reason === 'busy') {
 			this.tracker.observeAnswer(now);
-			this.tracker.observeFull(failure.reason, now);
+			this.tracker.observeOverload(failure.reason, now);
 		} else {
 			this.tracker.observeFailure(failure.reason === 'silent' ? 'silent' : 'refused', startedAt, now);
 		}
--- a/packages/gateway/src/dispatch/instance-tracker.ts
+++ b/packages/gateway/src/dispatch/instance-tracker.ts
@@ -8,34 +8,34 @@
 const initialLatencyMs = 10;
 
 /** Weight of the newest measurement in the averages. */
-const averageWeight = 0.1;
+const smoothingFactor = 0.1;
 
 /** Time of no use in which half of what was learnt of an instance's speed is forgotten, milliseconds. */
-const forgetHalfMs = 2000;
+const latencyHalfLifeMs = 2000;
 
 /** Time for which a replica that lacked a position is not asked for it again, milliseconds. */
-const laggingHoldMs = 150;
+const laggingBackoffMs = 150;
 
 /** Time between two attempts at an instance that cannot be reached, milliseconds. */
-const failureHoldMs = 150;
+const failureBackoffMs = 150;
 
 /** Time for which an instance is left alone that says it does not lead, milliseconds: the spread of a new term. */
-const notPrimaryHoldMs = 50;
+const notPrimaryBackoffMs = 50;
 
 /** Shortest pause after an instance had no room, milliseconds: about a service time. */
-const shortestPauseMs = 15;
+const minBackoffMs = 15;
 
 /** Longest such pause, milliseconds: all VMs together then ask no more often than an instance of a few slots serves. */
-const longestPauseMs = 480;
+const maxBackoffMs = 480;
 
 /** Time for which a want of room is told in the log, milliseconds: longer than the longest pause. */
-const shortageMs = 1000;
+const overloadReportMs = 1000;
 
 /** Time without any answer after which an instance is doubted, milliseconds: longer than a full queue before it takes. */
-const silentMs = 300;
+const silenceThresholdMs = 300;
 
 /** Something that an instance was asked. */
-export type Question = {
+export type PendingRequest = {
 	readonly kind: 'statement' | 'connection';
 	/** Steady time in milliseconds. */
 	readonly at: number;
@@ -44,19 +44,19 @@
 /** What this VM has learnt of one instance. */
 export class InstanceTracker {
 	#latencyMs = initialLatencyMs;
-	#usedAt = Number.NEGATIVE_INFINITY;
+	#measuredAt = Number.NEGATIVE_INFINITY;
 	#position: LogPosition | undefined;
 	#lagging: {readonly position: LogPosition; readonly until: number} | undefined;
-	#laggingShare = 0;
+	#laggingRate = 0;
 	#answeredAt: number | undefined;
 	#failingSince: number | undefined;
 	#failedAt = Number.NEGATIVE_INFINITY;
 	#isRefused = false;
-	#heldUntil = 0;
-	#fullCount = 0;
+	#backoffUntil = 0;
+	#overloadLevel = 0;
 	/** Questions without an answer yet, the oldest first. */
-	readonly #questions = new Set<Question>();
-	#shortage: {readonly reason: 'busy' | 'connection-limit'; readonly at: number} | undefined;
+	readonly #pendingRequests = new Set<PendingRequest>();
+	#overload: {readonly reason: 'busy' | 'connection-limit'; readonly at: number} | undefined;
 
 	/** @param random - Returns numbers from zero up to one. */
 	constructor(readonly instance: Instance, private readonly log: DecisionLog, private readonly random: () => number) {}
@@ -94,21 +94,21 @@
 		this.observeAnswer(now);
 		this.#position = outcome.position ?? this.#position;
 		if (outcome.kind === 'completed') {
-			this.#latencyMs += averageWeight * (now - sentAt - this.#latencyMs);
-			this.#usedAt = now;
-			this.#laggingShare *= 1 - averageWeight;
-			this.#fullCount = Math.max(0, this.#fullCount - 1);
+			this.#latencyMs += smoothingFactor * (now - sentAt - this.#latencyMs);
+			this.#measuredAt = now;
+			this.#laggingRate *= 1 - smoothingFactor;
+			this.#overloadLevel = Math.max(0, this.#overloadLevel - 1);
 		} else if (outcome.error === 'busy') {
-			this.observeFull('busy', now);
+			this.observeOverload('busy', now);
 		} else if (outcome.error === 'not-primary') {
-			this.#heldUntil = Math.max(this.#heldUntil, now + notPrimaryHoldMs);
+			this.#backoffUntil = Math.max(this.#backoffUntil, now + notPrimaryBackoffMs);
 		}
 	}
 
 	/** Takes in that the instance lacked a position. */
 	observeLagging(position: LogPosition, now: number): void {
-		this.#lagging = {position, until: now + laggingHoldMs};
-		this.#laggingShare += averageWeight * (1 - this.#laggingShare);
+		this.#lagging = {position, until: now + laggingBackoffMs};
+		this.#laggingRate += smoothingFactor * (1 - this.#laggingRate);
 	}
 
 	/**
@@ -133,34 +133,34 @@
 	}
 
 	/** Takes in that the instance had no room: pauses double while that goes on, and differ between VMs. */
-	observeFull(reason: 'busy' | 'connection-limit', now: number): void {
-		this.#shortage = {reason, at: now};
-		const pauseMs = Math.min(longestPauseMs, shortestPauseMs * (2 ** this.#fullCount));
-		this.#fullCount = Math.min(this.#fullCount + 1, 8);
-		this.#heldUntil = Math.max(this.#heldUntil, now + (pauseMs * (0.5 + this.random())));
+	observeOverload(reason: 'busy' | 'connection-limit', now: number): void {
+		this.#overload = {reason, at: now};
+		const pauseMs = Math.min(maxBackoffMs, minBackoffMs * (2 ** this.#overloadLevel));
+		this.#overloadLevel = Math.min(this.#overloadLevel + 1, 8);
+		this.#backoffUntil = Math.max(this.#backoffUntil, now + (pauseMs * (0.5 + this.random())));
 	}
 
 	/** Returns why the instance lately had no room. */
-	getShortage(now: number): 'busy' | 'connection-limit' | undefined {
-		return this.#shortage !== undefined && now - this.#shortage.at < shortageMs ? this.#shortage.reason : undefined;
+	getOverloadReason(now: number): 'busy' | 'connection-limit' | undefined {
+		return this.#overload !== undefined && now - this.#overload.at < overloadReportMs ? this.#overload.reason : undefined;
 	}
 
 	/** Takes in that the instance is asked something; the question is to be ended when there is an outcome. */
-	beginQuestion(kind: Question['kind'], now: number): Question {
+	addPendingRequest(kind: PendingRequest['kind'], now: number): PendingRequest {
 		const question = {kind, at: now};
-		this.#questions.add(question);
+		this.#pendingRequests.add(question);
 		return question;
 	}
 
-	endQuestion(question: Question): void {
-		this.#questions.delete(question);
+	removePendingRequest(question: PendingRequest): void {
+		this.#pendingRequests.delete(question);
 	}
 
 	/** Returns since when the instance has left this VM without any answer, steady milliseconds; undefined while it answers. */
 	getSilentSince(now: number): number | undefined {
-		for (const {at} of this.#questions) {
+		for (const {at} of this.#pendingRequests) {
 			if (this.#answeredAt === undefined || at >= this.#answeredAt) {
-				return now - at >= silentMs ? at : undefined;
+				return now - at >= silenceThresholdMs ? at : undefined;
 			}
 		}
 
@@ -169,16 +169,16 @@
 
 	/** Says whether the instance had no room lately, and has a statement of this VM to answer first. */
 	isSaturated(): boolean {
-		return this.#fullCount > 1 && [...this.#questions].some(({kind}) => kind === 'statement');
+		return this.#overloadLevel > 1 && [...this.#pendingRequests].some(({kind}) => kind === 'statement');
 	}
 
 	/** Says whether the instance may be tried now. */
 	isUsable(now: number): boolean {
-		return now >= this.#heldUntil && (this.#failingSince === undefined || now >= this.#failedAt + failureHoldMs);
+		return now >= this.#backoffUntil && (this.#failingSince === undefined || now >= this.#failedAt + failureBackoffMs);
 	}
 
 	/** Says whether the instance is likely to hold a position. */
-	isLikelyToHold(since: LogPosition | undefined, now: number): boolean {
+	isLikelyCaughtUp(since: LogPosition | undefined, now: number): boolean {
 		if (since === undefined || (this.#position !== undefined && isAtLeast(this.#position, since))) {
 			return true;
 		}
@@ -191,11 +191,11 @@
 	 * @param inFlight - Statements of this VM at the instance.
 	 * @param now - Steady time in milliseconds.
 	 */
-	estimateMs(inFlight: number, now: number): number {
-		const idleMs = Math.max(0, now - this.#usedAt);
-		const kept = Number.isFinite(idleMs) ? 0.5 ** (idleMs / forgetHalfMs) : 0;
+	estimateLatencyMs(inFlight: number, now: number): number {
+		const idleMs = Math.max(0, now - this.#measuredAt);
+		const kept = Number.isFinite(idleMs) ? 0.5 ** (idleMs / latencyHalfLifeMs) : 0;
 		const latency = initialLatencyMs + ((this.#latencyMs - initialLatencyMs) * kept);
-		return (latency * (1 + (inFlight / Math.max(1, this.instance.slots)))) + (this.#laggingShare * 2 * latency);
+		return (latency * (1 + (inFlight / Math.max(1, this.instance.slots)))) + (this.#laggingRate * 2 * latency);
 	}
 
 	createEvidence(vm: string, now: number): PrimaryEvidence {
--- a/packages/gateway/src/dispatch/place-request.ts
+++ b/packages/gateway/src/dispatch/placement.ts
@@ -3,12 +3,12 @@
 import {type InstancePool} from './instance-pool.js';
 
 /** What a statement or a transaction needs an instance for. */
-export type PlaceRequest = {
+export type PlacementRequest = {
 	readonly group: string;
 	readonly account: string;
 	readonly target: 'primary' | 'any';
 	/** Position that a replica has to hold. */
-	readonly since: LogPosition | undefined;
+	readonly requiredPosition: LogPosition | undefined;
 	/** Zero is the highest. */
 	readonly priority: number;
 	/** Steady time until which a place is of use, milliseconds. */
@@ -18,7 +18,7 @@
 };
 
 /** A connection that is held for one statement or transaction. */
-export type Place = {
+export type Placement = {
 	readonly pool: InstancePool;
 	readonly connection: PooledConnection;
 	/** Whether the instance is used as the group's primary. */
@@ -26,4 +26,4 @@
 };
 
 /** A place, or why there is none. */
-export type PlaceResult = {readonly kind: 'placed'; readonly place: Place} | {readonly kind: 'refused'; readonly refusal: Refusal};
+export type PlacementResult = {readonly kind: 'placed'; readonly placement: Placement} | {readonly kind: 'refused'; readonly refusal: Refusal};
--- a/packages/gateway/src/dispatch/pooled-connection.ts
+++ b/packages/gateway/src/dispatch/pooled-connection.ts
@@ -20,12 +20,12 @@
 /** A connection to an instance with what is known of its state there. */
 export class PooledConnection {
 	isBusy = false;
-	usedAt = 0;
+	lastUsedAt = 0;
 	#valuesOwner: SessionValues | undefined;
 	#valuesVersion = 0;
 	readonly #prepared = new Map<string, string>();
 
-	constructor(readonly connection: InstanceConnection, readonly account: string) {}
+	constructor(readonly instanceConnection: InstanceConnection, readonly account: string) {}
 
 	/** Says whether a session's values are in force, so that no statement has to be sent for them. */
 	hasValuesOf(session: SessionValues): boolean {
@@ -36,7 +36,7 @@
 
 	/** Returns the name of a prepared statement on this connection. */
 	getPreparedName(prepared: PreparedStatement): string | undefined {
-		return this.#prepared.get(formatKey(prepared));
+		return this.#prepared.get(formatPreparedKey(prepared));
 	}
 
 	/**
@@ -45,8 +45,8 @@
 	 */
 	createPreparation(session: SessionValues, prepared: PreparedStatement | undefined): OutgoingStatement[] {
 		const statements: OutgoingStatement[] = [];
-		const isForeign = this.#valuesOwner !== undefined && this.#valuesOwner !== session;
-		if (isForeign || this.#prepared.size >= maxPrepared) {
+		const hasOtherSession = this.#valuesOwner !== undefined && this.#valuesOwner !== session;
+		if (hasOtherSession || this.#prepared.size >= maxPrepared) {
 			statements.push({statement: {kind: 'control-reset'}});
 			this.#prepared.clear();
 			this.#valuesOwner = undefined;
@@ -63,7 +63,7 @@
 
 		if (prepared !== undefined && this.getPreparedName(prepared) === undefined) {
 			const name = `p${this.#prepared.size}`;
-			this.#prepared.set(formatKey(prepared), name);
+			this.#prepared.set(formatPreparedKey(prepared), name);
 			statements.push({statement: {kind: 'control-prepare', name, ...prepared}});
 		}
 
@@ -76,6 +76,6 @@
 	}
 }
 
-function formatKey(prepared: PreparedStatement): string {
+function formatPreparedKey(prepared: PreparedStatement): string {
 	return `${prepared.access} ${prepared.shape}`;
 }
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -3,7 +3,7 @@
 import {type ClusterMember} from '../coordination/index.js';
 import {type InstanceKeeper, type InstanceRegistry} from '../instances/index.js';
 import {type CallerConnection} from '../ports/index.js';
-import {CallerSession, type SessionIdentity, type SessionServices} from '../sessions/index.js';
+import {CallerSession, type SessionIdentity, type SessionDependencies} from '../sessions/index.js';
 
 /** How a gateway shuts down. */
 export type ShutdownTiming = {
@@ -37,16 +37,16 @@
 	readonly #drain: {phase: DrainPhase} = {phase: 'none'};
 
 	constructor(
-		private readonly services: SessionServices,
+		private readonly dependencies: SessionDependencies,
 		private readonly instances: InstanceRegistry,
 		private readonly configurationKeeper: ConfigurationKeeper,
 		private readonly instanceKeeper: InstanceKeeper,
 		private readonly member: ClusterMember,
 	) {
-		services.metrics.addGauge('sessions', () => this.#sessions.size);
-		services.metrics.addGauge('configuration_version', () => services.configuration.version);
-		services.metrics.addGauge('waiting', () => services.dispatcher.countWaiting());
-		services.metrics.addGauge('term_lease_ms', () => services.terms.getLeaseRemainingMs());
+		dependencies.metrics.addGauge('sessions', () => this.#sessions.size);
+		dependencies.metrics.addGauge('configuration_version', () => dependencies.configuration.version);
+		dependencies.metrics.addGauge('waiting', () => dependencies.dispatcher.countWaiting());
+		dependencies.metrics.addGauge('term_lease_ms', () => dependencies.terms.getLeaseRemainingMs());
 		configurationKeeper.onApplied(() => {
 			this.#closeRevoked();
 		});
@@ -54,7 +54,7 @@
 
 	/** Whether new sessions are welcome here. */
 	get isReady(): boolean {
-		return this.#drain.phase === 'none' && this.services.configuration.version > 0 && this.instances.appliedAt !== undefined;
+		return this.#drain.phase === 'none' && this.dependencies.configuration.version > 0 && this.instances.appliedAt !== undefined;
 	}
 
 	/** Starts the work that goes on in the background. */
@@ -63,10 +63,10 @@
 		void this.instanceKeeper.run();
 		await this.member.start();
 		setTimeout(() => {
-			void this.services.metrics.loadHistograms();
+			void this.dependencies.metrics.loadHistograms();
 		}, histogramDelayMs).unref();
 		setInterval(() => {
-			const {metrics, dispatcher, log} = this.services;
+			const {metrics, dispatcher, log} = this.dependencies;
 			log.logEvent('summary', {
 				gains: metrics.takeGains(), sessions: this.#sessions.size, waiting: dispatcher.countWaiting(), connections: dispatcher.describePools(),
 			});
@@ -76,14 +76,14 @@
 	/** Opens a session for a caller, or rejects it. */
 	openSession(identity: SessionIdentity, caller: CallerConnection): CallerSession | undefined {
 		const refusal = this.#checkAcceptance(identity.database);
-		const session: CallerSession = new CallerSession(this.services, identity, caller, () => {
+		const session: CallerSession = new CallerSession(this.dependencies, identity, caller, () => {
 			this.#sessions.delete(session);
 		});
 		const rejection: Refusal | undefined = refusal ?? session.open();
 		if (rejection !== undefined) {
-			this.services.metrics.addCount(`rejected_${rejection.kind}`);
-			this.services.log.logEvent('session.rejected', {
-				connection: identity.connectionId, database: identity.database, kind: rejection.kind, configuration: this.services.configuration.version,
+			this.dependencies.metrics.addCount(`rejected_${rejection.kind}`);
+			this.dependencies.log.logEvent('session.rejected', {
+				connection: identity.connectionId, database: identity.database, kind: rejection.kind, configuration: this.dependencies.configuration.version,
 			});
 			caller.rejectSession(rejection);
 			return undefined;
@@ -91,7 +91,7 @@
 
 		this.#sessions.add(session);
 		if (this.#drain.phase === 'finishing') {
-			session.closeAfterUse();
+			session.closeAfterOperation();
 		}
 
 		return session;
@@ -102,16 +102,16 @@
 			return refusals.shuttingDown(retryAfterMs);
 		}
 
-		return this.services.configuration.version === 0 ? refusals.overloaded(database, retryAfterMs) : undefined;
+		return this.dependencies.configuration.version === 0 ? refusals.overloaded(database, retryAfterMs) : undefined;
 	}
 
 	/** Shuts down: what runs is finished, transactions get half the time, idle sessions are closed. */
 	async drain(timing: ShutdownTiming): Promise<void> {
-		const startedAt = this.services.clock.now();
+		const startedAt = this.dependencies.clock.now();
 		this.#drain.phase = 'leaving-rotation';
-		this.services.log.logEvent('shutdown.begun', {sessions: this.#sessions.size, graceMs: timing.graceMs});
+		this.dependencies.log.logEvent('shutdown.begun', {sessions: this.#sessions.size, graceMs: timing.graceMs});
 		void this.member.handOver();
-		const elapsed = () => this.services.clock.now() - startedAt;
+		const elapsed = () => this.dependencies.clock.now() - startedAt;
 		while (elapsed() < timing.rotationMs) {
 			await pause(drainPollMs);
 		}
@@ -126,9 +126,9 @@
 		}
 
 		this.#drain.phase = 'refusing';
-		this.services.dispatcher.refuseWaiting(refusals.shuttingDown(retryAfterMs));
+		this.dependencies.dispatcher.refuseWaiting(refusals.shuttingDown(retryAfterMs));
 		for (const session of this.#sessions) {
-			session.refuseFurther(refusals.shuttingDown(retryAfterMs));
+			session.refuseStatements(refusals.shuttingDown(retryAfterMs));
 		}
 
 		while (this.#sessions.size > 0 && elapsed() < timing.graceMs - exitReserveMs) {
@@ -137,7 +137,7 @@
 
 		this.stop();
 		await this.member.leave();
-		this.services.log.logEvent('shutdown.ended', {sessions: this.#sessions.size, durationMs: Math.round(elapsed())});
+		this.dependencies.log.logEvent('shutdown.ended', {sessions: this.#sessions.size, durationMs: Math.round(elapsed())});
 	}
 
 	/** Ends the work in the background at once. */
--- a/packages/gateway/src/sessions/single-statement.ts
+++ b/packages/gateway/src/sessions/autocommit-runner.ts
@@ -1,9 +1,9 @@
 import {refusals, type LogPosition, type Refusal} from '@chicorysaddle/model';
-import {type Place, type PreparedStatement} from '../dispatch/index.js';
+import {type Placement, type PreparedStatement} from '../dispatch/index.js';
 import {type StatementRequest} from '../statements/index.js';
 import {getRequiredPosition, type Operation} from './operation.js';
-import {type SessionServices} from './session-services.js';
-import {isWriting, type RunResult, type StatementRunner} from './statement-runner.js';
+import {type SessionDependencies} from './session-dependencies.js';
+import {isWriteStatement, type RunResult, type StatementRunner} from './statement-runner.js';
 
 /** Result of an operation for its caller. */
 export type OperationOutcome =
@@ -14,13 +14,13 @@
 const maxAttempts = 6;
 
 /** Part of a route's timeout for which a statement may wait for a place; the rest is left for running it. */
-const waitingPart = 0.7;
+const maxWaitFraction = 0.7;
 
 /** Time that is told to a caller whose statement no instance took, milliseconds. */
 const retryAfterMs = 200;
 
 /** Interval at which a read's instance is looked at, milliseconds. */
-const doubtCheckMs = 50;
+const silenceCheckIntervalMs = 50;
 
 /** One offer of a statement to an instance. */
 type Attempt = {
@@ -32,31 +32,31 @@
 	/** Instances that are not to be tried, by id. */
 	readonly excluded: Set<string>;
 	/** Where it runs, once it does. */
-	place: Place | undefined;
+	placement: Placement | undefined;
 };
 
 /** Runs statements outside transactions: on any instance that is fresh enough, and again elsewhere while that is safe. */
-export class SingleStatement {
-	constructor(private readonly services: SessionServices, private readonly runner: StatementRunner) {}
+export class AutocommitRunner {
+	constructor(private readonly dependencies: SessionDependencies, private readonly runner: StatementRunner) {}
 
 	/** Runs one statement to its final answer. */
 	async run(operation: Operation, request: StatementRequest, prepared: PreparedStatement | undefined): Promise<OperationOutcome> {
-		const isWrite = isWriting(request.statement, prepared);
+		const isWrite = isWriteStatement(request.statement, prepared);
 		const excluded = new Set<string>();
 		const {route, startedAt} = operation;
 		const deadline = startedAt + route.statementTimeoutMs;
 		const doubtful = new Set<Promise<OperationOutcome | undefined>>();
-		for (let number = 0; number < maxAttempts && this.services.clock.now() < deadline; number++) {
+		for (let number = 0; number < maxAttempts && this.dependencies.clock.now() < deadline; number++) {
 			const attempt: Attempt = {
-				operation, request, prepared, isWrite, number, excluded, place: undefined,
+				operation, request, prepared, isWrite, number, excluded, placement: undefined,
 			};
-			const trying = this.#try(attempt);
-			const outcome = await (isWrite ? trying : this.#settle(attempt, trying, doubtful));
+			const trying = this.#runAttempt(attempt);
+			const outcome = await (isWrite ? trying : this.#waitForOutcome(attempt, trying, doubtful));
 			if (outcome === 'doubtful') {
 				// It may still answer; whichever does first is taken.
 				doubtful.add(trying);
-				excluded.add(attempt.place!.pool.instance.id);
-				this.services.metrics.addCount('read_doubted');
+				excluded.add(attempt.placement!.pool.instance.id);
+				this.dependencies.metrics.addCount('read_doubted');
 			} else if (outcome !== undefined && (outcome.kind === 'completed' || doubtful.size === 0)) {
 				return outcome;
 			} else if (outcome !== undefined) {
@@ -68,14 +68,14 @@
 	}
 
 	/** Waits for an attempt at a read, an earlier one that was doubted, or a reason to doubt this one. */
-	async #settle(attempt: Attempt, trying: Promise<OperationOutcome | undefined>, doubtful: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | 'doubtful' | undefined> {
+	async #waitForOutcome(attempt: Attempt, trying: Promise<OperationOutcome | undefined>, doubtful: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | 'doubtful' | undefined> {
 		return new Promise((resolve, reject) => {
 			const timer = setInterval(() => {
-				if (attempt.place?.pool.tracker.getSilentSince(this.services.clock.now()) !== undefined) {
+				if (attempt.placement?.pool.tracker.getSilentSince(this.dependencies.clock.now()) !== undefined) {
 					clearInterval(timer);
 					resolve('doubtful');
 				}
-			}, doubtCheckMs);
+			}, silenceCheckIntervalMs);
 			trying.then(outcome => {
 				clearInterval(timer);
 				resolve(outcome);
@@ -97,29 +97,29 @@
 	}
 
 	/** Offers the statement to one instance; undefined when it may be tried again. */
-	async #try(attempt: Attempt): Promise<OperationOutcome | undefined> {
+	async #runAttempt(attempt: Attempt): Promise<OperationOutcome | undefined> {
 		const {operation, request, prepared, isWrite, number, excluded} = attempt;
 		const {route, startedAt} = operation;
 		const deadline = startedAt + route.statementTimeoutMs;
-		const since = isWrite ? undefined : getRequiredPosition(operation, this.services.terms);
-		const acquired = await this.services.dispatcher.acquire({
-			group: route.group, account: operation.account, target: since === undefined ? 'primary' : 'any', since, priority: route.priority,
-			deadline: startedAt + (route.statementTimeoutMs * waitingPart), excluded,
+		const since = isWrite ? undefined : getRequiredPosition(operation, this.dependencies.terms);
+		const acquired = await this.dependencies.dispatcher.acquire({
+			group: route.group, account: operation.account, target: since === undefined ? 'primary' : 'any', requiredPosition: since, priority: route.priority,
+			deadline: startedAt + (route.statementTimeoutMs * maxWaitFraction), excluded,
 		});
 		if (acquired.kind === 'refused') {
 			return acquired;
 		}
 
-		const {place} = acquired;
-		attempt.place = place;
+		const {placement: place} = acquired;
+		attempt.placement = place;
 		const outgoing = {id: request.id, statement: request.statement, ...(!place.isPrimary && since !== undefined && {since})};
 		const result = await this.runner.run(place, operation, outgoing, prepared, deadline);
-		this.services.dispatcher.release(place, result.kind !== 'lost' && result.state === 'idle');
-		const outcome = await this.#judge(operation, place, result, isWrite);
+		this.dependencies.dispatcher.release(place, result.kind !== 'lost' && result.state === 'idle');
+		const outcome = await this.#resolveOutcome(operation, place, result, isWrite);
 		if (outcome === undefined) {
-			this.services.log.logEvent('statement.retried', {
+			this.dependencies.log.logEvent('statement.retried', {
 				request: request.id, group: route.group, instance: place.pool.instance.id, attempt: number, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
-				isPrimary: place.isPrimary, since: since === undefined ? undefined : `${since.term}.${since.offset}`, waitedMs: Math.round(this.services.clock.now() - startedAt),
+				isPrimary: place.isPrimary, since: since === undefined ? undefined : `${since.term}.${since.offset}`, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
 			});
 			if (!place.isPrimary || result.kind === 'lost') {
 				excluded.add(place.pool.instance.id);
@@ -130,9 +130,9 @@
 	}
 
 	/** Returns the final answer, or undefined when the statement may be tried again. */
-	async #judge(operation: Operation, place: Place, result: RunResult, isWrite: boolean): Promise<OperationOutcome | undefined> {
+	async #resolveOutcome(operation: Operation, place: Placement, result: RunResult, isWrite: boolean): Promise<OperationOutcome | undefined> {
 		if (result.kind === 'completed') {
-			if (isWrite && !await this.services.terms.waitUntilWriteIsSafe(operation.route.group, place.pool.instance.id)) {
+			if (isWrite && !await this.dependencies.terms.waitUntilWriteIsSafe(operation.route.group, place.pool.instance.id)) {
 				return {kind: 'refused', refusal: refusals.outcomeUnknown('the term ended while the write was under way')};
 			}
 
@@ -147,12 +147,12 @@
 			return undefined;
 		}
 
-		return {kind: 'refused', refusal: result.kind === 'lost' ? describeLoss(operation, result.reason) : result.refusal};
+		return {kind: 'refused', refusal: result.kind === 'lost' ? createLostAnswerRefusal(operation, result.reason) : result.refusal};
 	}
 }
 
 /** Describes an answer that never came to the caller of a statement that may have run. */
-export function describeLoss(operation: Operation, reason: 'closed' | 'timeout'): Refusal {
+export function createLostAnswerRefusal(operation: Operation, reason: 'closed' | 'timeout'): Refusal {
 	return reason === 'timeout' ? refusals.statementTimeout(operation.route.statementTimeoutMs) : refusals.outcomeUnknown('the instance closed the connection');
 }
 
--- a/packages/gateway/src/sessions/caller-session.ts
+++ b/packages/gateway/src/sessions/caller-session.ts
@@ -3,19 +3,19 @@
 import {type PreparedStatement, type SessionValues} from '../dispatch/index.js';
 import {type CallerConnection} from '../ports/index.js';
 import {type SessionState, type StatementKind, type StatementRequest} from '../statements/index.js';
-import {chooseAccountName, type Operation, type OperationResult} from './operation.js';
-import {type SessionIdentity, type SessionServices} from './session-services.js';
-import {type OperationOutcome, SingleStatement} from './single-statement.js';
+import {chooseAccountName, type Operation, type AdmissionResult} from './operation.js';
+import {type SessionIdentity, type SessionDependencies} from './session-dependencies.js';
+import {type OperationOutcome, AutocommitRunner} from './autocommit-runner.js';
 import {StatementRunner} from './statement-runner.js';
-import {getLaterCommit, Transaction, type TransactionAnswer} from './transaction.js';
+import {getNewestCommit, Transaction, type TransactionAnswer} from './transaction.js';
 
-type Handler = (request: StatementRequest, startedAt: number) => Promise<void> | void;
+type StatementHandler = (request: StatementRequest, startedAt: number) => Promise<void> | void;
 
 /** Statements that a caller may have waiting behind the one that runs. */
 const maxWaitingStatements = 64;
 
 /** Rest after which a session that is to end is closed, milliseconds: longer than callers take between two statements in a row. */
-const restBeforeCloseMs = 80;
+const idleBeforeCloseMs = 80;
 
 const acceptedInFailedTransaction: ReadonlySet<StatementKind> = new Set(['commit', 'roll-back']);
 
@@ -25,7 +25,7 @@
 	valuesVersion = 0;
 	readonly #prepared = new Map<string, PreparedStatement>();
 	readonly #waiting: Array<{readonly request: StatementRequest; readonly receivedAt: number}> = [];
-	readonly #single: SingleStatement;
+	readonly #autocommit: AutocommitRunner;
 	readonly #runner: StatementRunner;
 	#state: SessionState = 'idle';
 	#transaction: Transaction | undefined;
@@ -37,7 +37,7 @@
 	#isClosing = false;
 	#closingRefusal: Refusal | undefined;
 
-	readonly #handlers: Readonly<Record<StatementKind, Handler>> = {
+	readonly #handlers: Readonly<Record<StatementKind, StatementHandler>> = {
 		begin: async (request, startedAt) => this.#begin(request, startedAt),
 		commit: async request => this.#endTransaction(request),
 		'roll-back': request => {
@@ -61,13 +61,13 @@
 	};
 
 	constructor(
-		private readonly services: SessionServices,
+		private readonly dependencies: SessionDependencies,
 		private readonly identity: SessionIdentity,
 		private readonly caller: CallerConnection,
 		private readonly onEnded: () => void,
 	) {
-		this.#runner = new StatementRunner(services);
-		this.#single = new SingleStatement(services, this.#runner);
+		this.#runner = new StatementRunner(dependencies);
+		this.#autocommit = new AutocommitRunner(dependencies, this.#runner);
 	}
 
 	/** Whether nothing runs or waits and no transaction is open. */
@@ -85,7 +85,7 @@
 	 * @returns Why the session cannot be opened, if it cannot.
 	 */
 	open(): Refusal | undefined {
-		const route = this.services.configuration.getRoute(this.identity.database);
+		const route = this.dependencies.configuration.getRoute(this.identity.database);
 		if (route === undefined) {
 			return refusals.unknownDatabase(this.identity.database);
 		}
@@ -99,13 +99,13 @@
 	}
 
 	/** Takes in a statement of the caller. */
-	receive(request: StatementRequest): void {
+	handleStatement(request: StatementRequest): void {
 		if (this.#waiting.length >= maxWaitingStatements) {
 			this.caller.close();
 			return;
 		}
 
-		this.#waiting.push({request, receivedAt: this.services.clock.now()});
+		this.#waiting.push({request, receivedAt: this.dependencies.clock.now()});
 		if (!this.#isRunning) {
 			void this.#runWaiting();
 		}
@@ -118,20 +118,20 @@
 	}
 
 	/** Closes the session when the operation that comes next, or the one under way, is done. */
-	closeAfterUse(): void {
+	closeAfterOperation(): void {
 		this.#isClosing = true;
 	}
 
 	/** Closes the session as soon as it is idle, if its key no longer opens its database. */
 	closeIfRevoked(): void {
-		const route = this.services.configuration.getRoute(this.identity.database);
+		const route = this.dependencies.configuration.getRoute(this.identity.database);
 		if (route === undefined || chooseAccountName(route, this.#getAccount()) === undefined) {
 			this.closeWhenIdle();
 		}
 	}
 
 	/** Refuses every statement from now on, and ends an open transaction. */
-	refuseFurther(refusal: Refusal): void {
+	refuseStatements(refusal: Refusal): void {
 		this.#closingRefusal = refusal;
 		this.#isClosing = true;
 		if (!this.#isRunning && this.#transaction !== undefined) {
@@ -142,7 +142,7 @@
 	}
 
 	/** Takes in that the caller is gone. */
-	observeClosed(): void {
+	handleCallerClosed(): void {
 		if (!this.#isClosed) {
 			this.#isClosed = true;
 			this.#waiting.length = 0;
@@ -157,23 +157,23 @@
 		this.#isRunning = true;
 		for (let next = this.#waiting.shift(); next !== undefined && !this.#isClosed; next = this.#waiting.shift()) {
 			clearTimeout(this.#transactionTimer);
-			await this.#handle(next.request, next.receivedAt);
-			this.services.metrics.recordDuration('statement', this.services.clock.now() - next.receivedAt);
+			await this.#runHandler(next.request, next.receivedAt);
+			this.dependencies.metrics.recordDuration('statement', this.dependencies.clock.now() - next.receivedAt);
 		}
 
 		this.#isRunning = false;
-		this.#watchTransaction();
+		this.#startIdleTimer();
 		this.#closeIfIdle();
 	}
 
-	async #handle(request: StatementRequest, receivedAt: number): Promise<void> {
+	async #runHandler(request: StatementRequest, receivedAt: number): Promise<void> {
 		const {kind} = request.statement;
 		if (this.#state === 'failed-transaction' && !acceptedInFailedTransaction.has(kind)) {
 			this.#refuse(request, refusals.invalid('the transaction failed; roll it back'));
 			return;
 		}
 
-		const {maxStatementBytes = Number.POSITIVE_INFINITY} = this.services.configuration.configuration ?? {};
+		const {maxStatementBytes = Number.POSITIVE_INFINITY} = this.dependencies.configuration.configuration ?? {};
 		if (request.statement.text.length > maxStatementBytes) {
 			this.#refuse(request, refusals.invalid(`a statement of ${request.statement.text.length} bytes; the limit is ${maxStatementBytes}`));
 			return;
@@ -182,7 +182,7 @@
 		try {
 			await this.#handlers[kind](request, receivedAt);
 		} catch (error) {
-			this.services.log.logEvent('session.error', {connection: this.identity.connectionId, request: request.id, error: error instanceof Error ? error.stack ?? error.message : String(error)});
+			this.dependencies.log.logEvent('session.error', {connection: this.identity.connectionId, request: request.id, error: error instanceof Error ? error.stack ?? error.message : String(error)});
 			this.#refuse(request, refusals.outcomeUnknown('internal error'));
 		}
 	}
@@ -193,7 +193,7 @@
 			return;
 		}
 
-		const begun = await this.#beginOperation(request, startedAt);
+		const begun = await this.#admitOperation(request, startedAt);
 		if (begun.kind === 'refused') {
 			this.#refuse(request, begun.refusal, begun.isFinal);
 			return;
@@ -204,7 +204,7 @@
 			return;
 		}
 
-		this.#transaction = new Transaction(this.services, this.#runner, begun.operation, statement.kind === 'begin' ? statement.access : 'read-write');
+		this.#transaction = new Transaction(this.dependencies, this.#runner, begun.operation, statement.kind === 'begin' ? statement.access : 'read-write');
 		this.#state = 'in-transaction';
 		this.#acknowledge();
 	}
@@ -270,14 +270,14 @@
 			return;
 		}
 
-		const begun = await this.#beginOperation(request, startedAt);
+		const begun = await this.#admitOperation(request, startedAt);
 		if (begun.kind === 'refused') {
 			this.#refuse(request, begun.refusal, begun.isFinal);
 			return;
 		}
 
-		const outcome = await this.#single.run(begun.operation, request, prepared);
-		this.#giveBackUnrun(begun.operation, outcome);
+		const outcome = await this.#autocommit.run(begun.operation, request, prepared);
+		this.#refundIfNotRun(begun.operation, outcome);
 		this.#answer(request, outcome);
 	}
 
@@ -287,7 +287,7 @@
 			? await transaction.run(request, prepared)
 			: {outcome: {kind: 'refused', refusal}, isOpen: false};
 		if (!isOpen) {
-			this.#giveBackUnrun(transaction.operation, outcome);
+			this.#refundIfNotRun(transaction.operation, outcome);
 			this.#failTransaction();
 		}
 
@@ -321,12 +321,12 @@
 	}
 
 	/** Checks key, database, shutdown and rate at the start of a statement or transaction. */
-	async #beginOperation(request: StatementRequest, startedAt: number): Promise<OperationResult> {
+	async #admitOperation(request: StatementRequest, startedAt: number): Promise<AdmissionResult> {
 		if (this.#closingRefusal !== undefined) {
 			return {kind: 'refused', refusal: this.#closingRefusal, isFinal: true};
 		}
 
-		const route = this.services.configuration.getRoute(this.identity.database);
+		const route = this.dependencies.configuration.getRoute(this.identity.database);
 		if (route === undefined) {
 			return {kind: 'refused', refusal: refusals.unknownDatabase(this.identity.database), isFinal: true};
 		}
@@ -338,7 +338,7 @@
 
 		const waitMs = await this.#takeOperation(account);
 		if (waitMs > 0) {
-			return {kind: 'refused', refusal: refusals.overLimit(account, Math.ceil(waitMs), this.services.limiter.describeLimit(account)), isFinal: false};
+			return {kind: 'refused', refusal: refusals.overLimit(account, Math.ceil(waitMs), this.dependencies.limiter.describeLimit(account)), isFinal: false};
 		}
 
 		return {
@@ -349,13 +349,13 @@
 	}
 
 	async #takeOperation(account: string): Promise<number> {
-		return this.services.configuration.getAccount(account) === undefined ? 0 : this.services.limiter.takeOperation(account);
+		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.takeOperation(account);
 	}
 
 	/** Counts an operation that no instance took as none: its account may use the right once more. */
-	#giveBackUnrun(operation: Operation, outcome: OperationOutcome): void {
+	#refundIfNotRun(operation: Operation, outcome: OperationOutcome): void {
 		if (outcome.kind === 'refused' && !operation.mayHaveRun) {
-			this.services.limiter.giveBack(operation.account);
+			this.dependencies.limiter.giveBack(operation.account);
 		}
 	}
 
@@ -369,11 +369,11 @@
 	}
 
 	#getGroup(): string | undefined {
-		return this.services.configuration.getRoute(this.identity.database)?.group;
+		return this.dependencies.configuration.getRoute(this.identity.database)?.group;
 	}
 
 	#getAccount(): ClientAccount | undefined {
-		return this.services.configuration.getAccountByKey(this.identity.keyDigest);
+		return this.dependencies.configuration.getAccountByKey(this.identity.keyDigest);
 	}
 
 	#failTransaction(): void {
@@ -382,14 +382,14 @@
 		this.#state = 'failed-transaction';
 	}
 
-	#watchTransaction(): void {
-		const idleMs = this.services.configuration.configuration?.transactionIdleMs;
+	#startIdleTimer(): void {
+		const idleMs = this.dependencies.configuration.configuration?.transactionIdleMs;
 		if (this.#transaction === undefined || idleMs === undefined) {
 			return;
 		}
 
 		this.#transactionTimer = setTimeout(() => {
-			this.services.metrics.addCount('transaction_idle');
+			this.dependencies.metrics.addCount('transaction_idle');
 			this.#failTransaction();
 		}, idleMs);
 	}
@@ -401,11 +401,11 @@
 		}
 
 		if (outcome.isCommit) {
-			this.#lastCommit = getLaterCommit(this.#lastCommit, outcome.position);
+			this.#lastCommit = getNewestCommit(this.#lastCommit, outcome.position);
 		}
 
-		this.services.metrics.addCount('completed');
-		this.services.log.logEvent('statement.completed', {connection: this.identity.connectionId, request: request.id, statement: request.statement.kind});
+		this.dependencies.metrics.addCount('completed');
+		this.dependencies.log.logEvent('statement.completed', {connection: this.identity.connectionId, request: request.id, statement: request.statement.kind});
 		if (!this.#isClosed) {
 			this.caller.sendAnswer({result: {kind: 'completed', rows: outcome.rows, signature: outcome.signature}, state: this.#state, position: outcome.position});
 		}
@@ -418,12 +418,12 @@
 	}
 
 	#refuse(request: StatementRequest, refusal: Refusal, isFinal = false): void {
-		this.services.metrics.addCount(`refused_${refusal.kind}`);
-		this.services.log.logEvent('statement.refused', {
+		this.dependencies.metrics.addCount(`refused_${refusal.kind}`);
+		this.dependencies.log.logEvent('statement.refused', {
 			connection: this.identity.connectionId, request: request.id, database: this.identity.database, group: this.#getGroup(),
 			statement: request.statement.kind, kind: refusal.kind, why: refusal.message,
 			ran: refusal.details.ran, retryAfterMs: refusal.retryAfterMs, state: this.#state,
-			places: refusal.kind === 'overloaded' ? this.services.dispatcher.describePools(this.#getGroup()) : undefined, configuration: this.services.configuration.version,
+			places: refusal.kind === 'overloaded' ? this.dependencies.dispatcher.describePools(this.#getGroup()) : undefined, configuration: this.dependencies.configuration.version,
 		});
 		if (!this.#isClosed) {
 			this.caller.sendAnswer({result: {kind: 'refused', refusal}, state: this.#state, position: undefined});
@@ -444,6 +444,6 @@
 			if (this.isIdle && !this.#isClosed) {
 				this.caller.close();
 			}
-		}, restBeforeCloseMs);
+		}, idleBeforeCloseMs);
 	}
 }
--- a/packages/gateway/src/sessions/index.ts
+++ b/packages/gateway/src/sessions/index.ts
@@ -1,6 +1,6 @@
-export type * from './session-services.js';
+export type * from './session-dependencies.js';
 export * from './operation.js';
 export * from './statement-runner.js';
-export * from './single-statement.js';
+export * from './autocommit-runner.js';
 export * from './transaction.js';
 export * from './caller-session.js';
--- a/packages/gateway/src/sessions/operation.ts
+++ b/packages/gateway/src/sessions/operation.ts
@@ -19,7 +19,7 @@
 };
 
 /** Operation that may begin, or why it may not. */
-export type OperationResult = {readonly kind: 'begun'; readonly operation: Operation} | {readonly kind: 'refused'; readonly refusal: Refusal; readonly isFinal: boolean};
+export type AdmissionResult = {readonly kind: 'begun'; readonly operation: Operation} | {readonly kind: 'refused'; readonly refusal: Refusal; readonly isFinal: boolean};
 
 /** Account name for callers of routes that are open to all. */
 export const anonymousAccount = 'anonymous';
--- a/packages/gateway/src/sessions/session-services.ts
+++ b/packages/gateway/src/sessions/session-dependencies.ts
@@ -6,7 +6,7 @@
 import {type TermRegistry} from '../terms/index.js';
 
 /** What sessions need from the rest of the gateway. */
-export type SessionServices = {
+export type SessionDependencies = {
 	readonly configuration: ConfigurationView;
 	readonly dispatcher: Dispatcher;
 	readonly limiter: AccountLimiter;
--- a/packages/gateway/src/sessions/statement-runner.ts
+++ b/packages/gateway/src/sessions/statement-runner.ts
@@ -1,12 +1,12 @@
 import {
 	refusals, type LogPosition, type Refusal,
 } from '@chicorysaddle/model';
-import {type Place, type PreparedStatement} from '../dispatch/index.js';
+import {type Placement, type PreparedStatement} from '../dispatch/index.js';
 import {
 	type InstanceErrorKind, type OutgoingStatement, type SessionState, type Statement, type StatementOutcome,
 } from '../statements/index.js';
 import {type Operation} from './operation.js';
-import {type SessionServices} from './session-services.js';
+import {type SessionDependencies} from './session-dependencies.js';
 
 /** What a place did for a statement. */
 export type RunResult =
@@ -21,7 +21,7 @@
 /** Time to put a session's values in force, milliseconds: no slot is needed for it. */
 const preparationTimeoutMs = 500;
 
-const errorResults: Readonly<Record<InstanceErrorKind, (message: string, timeoutMs: number) => Refusal | undefined>> = {
+const refusalsByError: Readonly<Record<InstanceErrorKind, (message: string, timeoutMs: number) => Refusal | undefined>> = {
 	aborted: () => undefined,
 	busy: () => undefined,
 	'connection-limit': () => undefined,
@@ -37,7 +37,7 @@
 
 /** Sends one statement at a time to a place and takes in what the answer tells about the instance. */
 export class StatementRunner {
-	constructor(private readonly services: SessionServices) {}
+	constructor(private readonly dependencies: SessionDependencies) {}
 
 	/**
 	 * Runs a statement of a caller.
@@ -45,13 +45,13 @@
 	 * @param since - Position that the instance has to hold.
 	 * @param deadline - Steady time until which the answer is waited for.
 	 */
-	async run(place: Place, operation: Operation, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
+	async run(place: Placement, operation: Operation, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
 		const isPrepared = await this.#prepare(place, operation, prepared);
 		if (!isPrepared) {
 			return {kind: 'not-run', reason: 'preparation-failed', state: 'idle'};
 		}
 
-		const {clock, terms, metrics} = this.services;
+		const {clock, terms, metrics} = this.dependencies;
 		const {pool, connection} = place;
 		if (place.isPrimary && !await terms.waitUntilPrimaryIsUsable(operation.route.group, pool.instance.id)) {
 			return {kind: 'not-run', reason: 'lease-ended', state: 'idle'};
@@ -63,9 +63,9 @@
 			terms.beginWrite(operation.route.group);
 		}
 
-		const question = pool.tracker.beginQuestion('statement', sentAt);
-		const [outcome] = await connection.connection.run([this.#name(place, outgoing, prepared)], Math.max(1, deadline - sentAt));
-		pool.tracker.endQuestion(question);
+		const question = pool.tracker.addPendingRequest('statement', sentAt);
+		const [outcome] = await connection.instanceConnection.run([this.#resolvePreparedName(place, outgoing, prepared)], Math.max(1, deadline - sentAt));
+		pool.tracker.removePendingRequest(question);
 		if (isChanging) {
 			// After the continuation that passes the outcome on.
 			setImmediate(() => {
@@ -81,39 +81,39 @@
 		}
 
 		this.#observePosition(place, operation, outcome!, sentAt);
-		const result = this.#convert(place, outgoing, outcome!, deadline - sentAt);
+		const result = this.#createResult(place, outgoing, outcome!, deadline - sentAt);
 		operation.mayHaveRun ||= result.kind !== 'not-run';
 		return result;
 	}
 
-	async #prepare(place: Place, operation: Operation, prepared: PreparedStatement | undefined): Promise<boolean> {
+	async #prepare(place: Placement, operation: Operation, prepared: PreparedStatement | undefined): Promise<boolean> {
 		const preparation = place.connection.createPreparation(operation.session, prepared);
 		if (preparation.length === 0) {
 			return true;
 		}
 
-		const outcomes = await place.connection.connection.run(preparation, preparationTimeoutMs);
+		const outcomes = await place.connection.instanceConnection.run(preparation, preparationTimeoutMs);
 		const isDone = outcomes.every(outcome => outcome.kind === 'completed');
 		if (!isDone) {
 			// What is in force on the connection is not known any more.
-			place.connection.connection.close();
+			place.connection.instanceConnection.close();
 		}
 
 		return isDone;
 	}
 
-	#name(place: Place, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined): OutgoingStatement {
+	#resolvePreparedName(place: Placement, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined): OutgoingStatement {
 		const name = prepared === undefined ? undefined : place.connection.getPreparedName(prepared);
 		return name === undefined || outgoing.statement.kind !== 'execute' ? outgoing : {...outgoing, statement: {...outgoing.statement, name}};
 	}
 
-	#observePosition(place: Place, operation: Operation, outcome: StatementOutcome, sentAt: number): void {
+	#observePosition(place: Placement, operation: Operation, outcome: StatementOutcome, sentAt: number): void {
 		if (place.isPrimary && outcome.kind !== 'broken' && outcome.position !== undefined) {
-			this.services.terms.recordPosition(operation.route.group, outcome.position, sentAt);
+			this.dependencies.terms.recordPosition(operation.route.group, outcome.position, sentAt);
 		}
 	}
 
-	#convert(place: Place, outgoing: OutgoingStatement, outcome: StatementOutcome, timeoutMs: number): RunResult {
+	#createResult(place: Placement, outgoing: OutgoingStatement, outcome: StatementOutcome, timeoutMs: number): RunResult {
 		if (outcome.kind === 'completed') {
 			return outcome;
 		}
@@ -122,14 +122,14 @@
 			return {kind: 'lost', reason: outcome.reason};
 		}
 
-		this.services.metrics.addCount(`instance_error_${outcome.error}`);
+		this.dependencies.metrics.addCount(`instance_error_${outcome.error}`);
 		if (outcome.error === 'lagging' && outgoing.since !== undefined) {
-			place.pool.tracker.observeLagging(outgoing.since, this.services.clock.now());
+			place.pool.tracker.observeLagging(outgoing.since, this.dependencies.clock.now());
 		} else if (outcome.error === 'no-statement') {
 			place.connection.clearPrepared();
 		}
 
-		const refusal = errorResults[outcome.error](outcome.message, timeoutMs);
+		const refusal = refusalsByError[outcome.error](outcome.message, timeoutMs);
 		return refusal === undefined
 			? {kind: 'not-run', reason: outcome.error, state: outcome.state}
 			: {kind: 'failed', refusal, state: outcome.state};
@@ -137,6 +137,6 @@
 }
 
 /** Says whether a statement of a caller may change data. */
-export function isWriting(statement: Statement, prepared: PreparedStatement | undefined): boolean {
+export function isWriteStatement(statement: Statement, prepared: PreparedStatement | undefined): boolean {
 	return statement.kind === 'write' || prepared?.access === 'write';
 }
--- a/packages/gateway/src/sessions/transaction.ts
+++ b/packages/gateway/src/sessions/transaction.ts
@@ -1,10 +1,10 @@
 import {refusals, type LogPosition, type Refusal} from '@chicorysaddle/model';
-import {type Place, type PreparedStatement} from '../dispatch/index.js';
+import {type Placement, type PreparedStatement} from '../dispatch/index.js';
 import {type StatementRequest, type TransactionAccess} from '../statements/index.js';
 import {getRequiredPosition, type Operation} from './operation.js';
-import {type SessionServices} from './session-services.js';
-import {describeLoss, type OperationOutcome} from './single-statement.js';
-import {isWriting, type RunResult, type StatementRunner} from './statement-runner.js';
+import {type SessionDependencies} from './session-dependencies.js';
+import {createLostAnswerRefusal, type OperationOutcome} from './autocommit-runner.js';
+import {isWriteStatement, type RunResult, type StatementRunner} from './statement-runner.js';
 
 /** Instances that a transaction is offered to before it is refused. */
 const maxAttempts = 6;
@@ -13,10 +13,10 @@
 const maxBusyRetries = 4;
 
 /** Pause before a statement is offered again, milliseconds: about one service time. */
-const busyPauseMs = 15;
+const busyRetryDelayMs = 15;
 
 /** Part of a route's timeout for which a transaction may wait for a place. */
-const waitingPart = 0.7;
+const maxWaitFraction = 0.7;
 
 /** Time for a rollback, milliseconds: no slot is needed for it. */
 const rollBackTimeoutMs = 500;
@@ -29,13 +29,13 @@
 
 /** A caller's transaction: pinned to one connection from its first statement on. */
 export class Transaction {
-	#place: Place | undefined;
+	#placement: Placement | undefined;
 	#hasWritten = false;
 	#isRunning = false;
 	#isEnded = false;
 
 	constructor(
-		private readonly services: SessionServices,
+		private readonly dependencies: SessionDependencies,
 		private readonly runner: StatementRunner,
 		readonly operation: Operation,
 		private readonly access: TransactionAccess,
@@ -43,7 +43,7 @@
 
 	/** Runs a statement inside the transaction. */
 	async run(request: StatementRequest, prepared: PreparedStatement | undefined): Promise<TransactionAnswer> {
-		const startedAt = this.services.clock.now();
+		const startedAt = this.dependencies.clock.now();
 		const deadline = startedAt + this.operation.route.statementTimeoutMs;
 		this.#isRunning = true;
 		try {
@@ -52,10 +52,10 @@
 				return this.#fail(refusal);
 			}
 
-			const place = this.#place!;
-			this.#hasWritten ||= isWriting(request.statement, prepared);
-			const result = await this.#runPatiently(place, request, prepared, deadline);
-			return request.statement.kind === 'commit' ? await this.#judgeCommit(place, result) : this.#judge(result);
+			const place = this.#placement!;
+			this.#hasWritten ||= isWriteStatement(request.statement, prepared);
+			const result = await this.#runWithRetries(place, request, prepared, deadline);
+			return request.statement.kind === 'commit' ? await this.#createCommitAnswer(place, result) : this.#createAnswer(result);
 		} finally {
 			this.#isRunning = false;
 			if (this.#isEnded) {
@@ -72,18 +72,18 @@
 		}
 	}
 
-	async #runPatiently(place: Place, request: StatementRequest, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
+	async #runWithRetries(place: Placement, request: StatementRequest, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
 		for (let attempt = 0; ; attempt++) {
 			const result = await this.runner.run(place, this.operation, {id: request.id, statement: request.statement}, prepared, deadline);
 			const isWorthRetrying = result.kind === 'not-run' && (result.reason === 'busy' || result.reason === 'no-statement') && result.state === 'in-transaction'
-				&& attempt < maxBusyRetries && this.services.clock.now() + busyPauseMs < deadline;
+				&& attempt < maxBusyRetries && this.dependencies.clock.now() + busyRetryDelayMs < deadline;
 			if (!isWorthRetrying) {
 				return result;
 			}
 
 			if (result.reason === 'busy') {
 				await new Promise(resolve => {
-					setTimeout(resolve, busyPauseMs);
+					setTimeout(resolve, busyRetryDelayMs);
 				});
 			}
 		}
@@ -93,31 +93,31 @@
 	async #pin(startedAt: number, deadline: number): Promise<Refusal | undefined> {
 		const {route, account} = this.operation;
 		const excluded = new Set<string>();
-		for (let attempt = 0; this.#place === undefined; attempt++) {
-			if (attempt >= maxAttempts || this.services.clock.now() >= deadline) {
-				return refusals.overloaded(route.group, busyPauseMs);
+		for (let attempt = 0; this.#placement === undefined; attempt++) {
+			if (attempt >= maxAttempts || this.dependencies.clock.now() >= deadline) {
+				return refusals.overloaded(route.group, busyRetryDelayMs);
 			}
 
-			const since = this.access === 'read-only' ? getRequiredPosition(this.operation, this.services.terms) : undefined;
-			const acquired = await this.services.dispatcher.acquire({
-				group: route.group, account, target: since === undefined ? 'primary' : 'any', since, priority: route.priority,
-				deadline: startedAt + (route.statementTimeoutMs * waitingPart), excluded,
+			const since = this.access === 'read-only' ? getRequiredPosition(this.operation, this.dependencies.terms) : undefined;
+			const acquired = await this.dependencies.dispatcher.acquire({
+				group: route.group, account, target: since === undefined ? 'primary' : 'any', requiredPosition: since, priority: route.priority,
+				deadline: startedAt + (route.statementTimeoutMs * maxWaitFraction), excluded,
 			});
 			if (acquired.kind === 'refused') {
 				return acquired.refusal;
 			}
 
-			const {place} = acquired;
+			const {placement: place} = acquired;
 			const begin = {statement: {kind: 'control-begin' as const, access: this.access}, ...(!place.isPrimary && since !== undefined && {since})};
 			const result = await this.runner.run(place, this.operation, begin, undefined, deadline);
 			if (result.kind === 'completed' && result.state === 'in-transaction') {
-				this.#place = place;
-				this.services.log.logEvent('transaction.pinned', {
-					request: this.operation.id, group: route.group, instance: place.pool.instance.id, isPrimary: place.isPrimary, waitedMs: Math.round(this.services.clock.now() - startedAt),
+				this.#placement = place;
+				this.dependencies.log.logEvent('transaction.pinned', {
+					request: this.operation.id, group: route.group, instance: place.pool.instance.id, isPrimary: place.isPrimary, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
 				});
 			} else {
-				this.services.dispatcher.release(place, false);
-				this.services.log.logEvent('transaction.moved', {
+				this.dependencies.dispatcher.release(place, false);
+				this.dependencies.log.logEvent('transaction.moved', {
 					request: this.operation.id, group: route.group, instance: place.pool.instance.id, attempt, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
 				});
 				if (!place.isPrimary || result.kind === 'lost') {
@@ -129,14 +129,14 @@
 		return undefined;
 	}
 
-	#judge(result: RunResult): TransactionAnswer {
+	#createAnswer(result: RunResult): TransactionAnswer {
 		switch (result.kind) {
 			case 'completed': {
 				return {outcome: {...result, kind: 'completed', isCommit: false}, isOpen: true};
 			}
 
 			case 'not-run': {
-				return result.reason === 'busy' ? this.#fail(refusals.overloaded(this.operation.route.group, busyPauseMs)) : this.#fail(refusals.transactionAborted(result.reason));
+				return result.reason === 'busy' ? this.#fail(refusals.overloaded(this.operation.route.group, busyRetryDelayMs)) : this.#fail(refusals.transactionAborted(result.reason));
 			}
 
 			case 'failed': {
@@ -150,10 +150,10 @@
 		}
 	}
 
-	async #judgeCommit(place: Place, result: RunResult): Promise<TransactionAnswer> {
+	async #createCommitAnswer(place: Placement, result: RunResult): Promise<TransactionAnswer> {
 		if (result.kind === 'completed') {
-			this.#giveBack(result.state === 'idle');
-			const isCertain = !this.#hasWritten || await this.services.terms.waitUntilWriteIsSafe(this.operation.route.group, place.pool.instance.id);
+			this.#release(result.state === 'idle');
+			const isCertain = !this.#hasWritten || await this.dependencies.terms.waitUntilWriteIsSafe(this.operation.route.group, place.pool.instance.id);
 			return {
 				outcome: isCertain
 					? {...result, kind: 'completed', isCommit: this.#hasWritten}
@@ -162,7 +162,7 @@
 			};
 		}
 
-		this.#giveBack(false);
+		this.#release(false);
 		return {outcome: {kind: 'refused', refusal: this.#describeFailedCommit(result)}, isOpen: false};
 	}
 
@@ -175,7 +175,7 @@
 			return refusals.transactionAborted('it could not be committed');
 		}
 
-		return result.kind === 'lost' ? describeLoss(this.operation, result.reason) : result.refusal;
+		return result.kind === 'lost' ? createLostAnswerRefusal(this.operation, result.reason) : result.refusal;
 	}
 
 	#fail(refusal: Refusal): TransactionAnswer {
@@ -184,25 +184,25 @@
 	}
 
 	async #rollBackAtInstance(): Promise<void> {
-		const place = this.#place;
+		const place = this.#placement;
 		if (place === undefined) {
 			return;
 		}
 
-		this.#place = undefined;
-		const [outcome] = await place.connection.connection.run([{statement: {kind: 'control-roll-back'}}], rollBackTimeoutMs);
-		this.services.dispatcher.release(place, outcome?.kind === 'completed' && outcome.state === 'idle');
+		this.#placement = undefined;
+		const [outcome] = await place.connection.instanceConnection.run([{statement: {kind: 'control-roll-back'}}], rollBackTimeoutMs);
+		this.dependencies.dispatcher.release(place, outcome?.kind === 'completed' && outcome.state === 'idle');
 	}
 
-	#giveBack(isClean: boolean): void {
-		if (this.#place !== undefined) {
-			this.services.dispatcher.release(this.#place, isClean);
-			this.#place = undefined;
+	#release(isClean: boolean): void {
+		if (this.#placement !== undefined) {
+			this.dependencies.dispatcher.release(this.#placement, isClean);
+			this.#placement = undefined;
 		}
 	}
 }
 
 /** Returns the later of a session's newest commit and another. */
-export function getLaterCommit(a: LogPosition | undefined, b: LogPosition | undefined): LogPosition | undefined {
+export function getNewestCommit(a: LogPosition | undefined, b: LogPosition | undefined): LogPosition | undefined {
 	return b ?? a;
 }
--- a/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
+++ b/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
@@ -59,12 +59,12 @@
 
 test('while an instance has no room one statement at a time is sent to it', t => {
 	const tracker = createTracker();
-	const question = tracker.beginQuestion('statement', 0);
+	const question = tracker.addPendingRequest('statement', 0);
 	t.false(tracker.isSaturated());
 	tracker.observeOutcome(busy, 0, 0);
 	tracker.observeOutcome(busy, 0, 0);
 	t.true(tracker.isSaturated());
-	tracker.endQuestion(question);
+	tracker.removePendingRequest(question);
 	t.false(tracker.isSaturated());
 });
 
@@ -81,16 +81,16 @@
 
 test('an instance is doubted when nothing was answered since a question, and not while it answers others', t => {
 	const tracker = createTracker();
-	const question = tracker.beginQuestion('connection', 100);
+	const question = tracker.addPendingRequest('connection', 100);
 	t.is(tracker.getSilentSince(399), undefined);
 	t.is(tracker.getSilentSince(400), 100);
 	t.is(tracker.createEvidence('vm1', 400).failingSince, 100);
 	tracker.observeAnswer(410);
 	t.is(tracker.getSilentSince(900), undefined);
-	const later = tracker.beginQuestion('statement', 500);
+	const later = tracker.addPendingRequest('statement', 500);
 	t.is(tracker.getSilentSince(850), 500);
-	tracker.endQuestion(later);
-	tracker.endQuestion(question);
+	tracker.removePendingRequest(later);
+	tracker.removePendingRequest(question);
 	t.is(tracker.getSilentSince(5000), undefined);
 });
 
--- a/packages/gateway/src/tests/fakes/test-cluster.ts
+++ b/packages/gateway/src/tests/fakes/test-cluster.ts
@@ -42,7 +42,7 @@
 			},
 			close: () => {
 				this.isClosed = true;
-				this.#session?.observeClosed();
+				this.#session?.handleCallerClosed();
 			},
 		});
 	}
@@ -61,7 +61,7 @@
 		this.#count += 1;
 		return new Promise(resolve => {
 			this.#onAnswer = resolve;
-			this.#session!.receive({id: this.requestId, statement});
+			this.#session!.handleStatement({id: this.requestId, statement});
 		});
 	}
 
@@ -71,7 +71,7 @@
 	}
 
 	leave(): void {
-		this.#session?.observeClosed();
+		this.#session?.handleCallerClosed();
 	}
 }
 
--- a/packages/gateway/src/wiring/create-gateway.ts
+++ b/packages/gateway/src/wiring/create-gateway.ts
@@ -12,7 +12,7 @@
 import {
 	type AdjustableSettingsSource, type Clock, type CoordinationTable, type InstanceConnector, type PeerNetwork, type PromotionService,
 } from '../ports/index.js';
-import {type SessionServices} from '../sessions/index.js';
+import {type SessionDependencies} from '../sessions/index.js';
 import {TermRegistry} from '../terms/index.js';
 
 /** What a gateway is connected to. */
@@ -61,10 +61,10 @@
 	const member = new ClusterMember({
 		identity, coordinatorLease, coordinator, promoter, terms, configuration, configurationWatcher: configurationKeeper, instances, instanceWatcher: instanceKeeper, dispatcher, limiter, store: table, network, clock, log, getSettings,
 	});
-	const services: SessionServices = {
+	const sessionDependencies: SessionDependencies = {
 		configuration, dispatcher, limiter, terms, clock, log, metrics,
 	};
 	return {
-		gateway: new Gateway(services, instances, configurationKeeper, instanceKeeper, member), log, metrics, terms,
+		gateway: new Gateway(sessionDependencies, instances, configurationKeeper, instanceKeeper, member), log, metrics, terms,
 	};
 }
