--- a/packages/gateway/src/configuration/configuration-keeper.ts
+++ b/packages/gateway/src/configuration/configuration-watcher.ts
@@ -1,6 +1,6 @@
 import {Backoff} from '@chicorysaddle/decisions';
-import {type DecisionLog} from '../observability/index.js';
-import {type ConfigurationReading, type CoordinationTable, type StoreResult} from '../ports/index.js';
+import {type EventLog} from '../observability/index.js';
+import {type VersionedConfiguration, type CoordinationStore, type StoreResult} from '../ports/index.js';
 import {formatConfiguration, parseConfiguration} from './configuration-codec.js';
 import {type ConfigurationView} from './configuration-view.js';
 import {type GatewayConfiguration} from './gateway-configuration.js';
@@ -12,16 +12,16 @@
 const callTimeoutMs = 1000;
 
 /** Pause after a call that failed, and the longest after several, milliseconds: as long as a call may take. */
-const failurePauseMs = 250;
-const longestPauseMs = callTimeoutMs;
+const initialBackoffMs = 250;
+const maxBackoffMs = callTimeoutMs;
 
 /** Keeps the newest configuration in force: from the store, and from other VMs while the store turns this one away. */
-export class ConfigurationKeeper {
+export class ConfigurationWatcher {
 	#encoded: string | undefined;
 	#storeVersion: number | undefined;
 	#isStopped = false;
-	#isStoreAway = false;
-	#isFollowing = true;
+	#isStoreUnavailable = false;
+	#isPolling = true;
 	#isRefreshing = false;
 	#wake: (() => void) | undefined;
 	readonly #listeners: Array<(configuration: GatewayConfiguration) => void> = [];
@@ -29,8 +29,8 @@
 	readonly #backoff: Backoff;
 
 	/** @param random - Returns numbers from zero up to one. */
-	constructor(private readonly table: CoordinationTable, private readonly view: ConfigurationView, random: () => number, private readonly log: DecisionLog) {
-		this.#backoff = new Backoff(failurePauseMs, longestPauseMs, random);
+	constructor(private readonly store: CoordinationStore, private readonly view: ConfigurationView, random: () => number, private readonly log: EventLog) {
+		this.#backoff = new Backoff(initialBackoffMs, maxBackoffMs, random);
 	}
 
 	/** The configuration in force as other VMs are sent it. */
@@ -50,12 +50,12 @@
 	 * @returns Whether that version, or a newer one, is in force now.
 	 */
 	async refresh(version: number): Promise<boolean> {
-		if (this.#isFollowing || this.#isRefreshing) {
+		if (this.#isPolling || this.#isRefreshing) {
 			return true;
 		}
 
 		this.#isRefreshing = true;
-		const result = await this.table.readConfiguration(callTimeoutMs);
+		const result = await this.store.readConfiguration(callTimeoutMs);
 		this.#isRefreshing = false;
 		if (result.kind === 'ok' && result.value.configuration !== undefined) {
 			this.#apply(result.value.configuration, 'store');
@@ -67,11 +67,11 @@
 	/** Reads and follows the configuration until it is stopped. */
 	async run(): Promise<void> {
 		while (!this.#isStopped) {
-			await this.#waitForTurn();
+			await this.#waitUntilPolling();
 			const result = await this.#read();
 			if (result.kind === 'ok') {
 				this.#backoff.reset();
-				this.#observeStore(true, '');
+				this.#recordStoreAvailability(true, '');
 				this.#storeVersion = result.value.storeVersion;
 				if (result.value.configuration !== undefined) {
 					this.#apply(result.value.configuration, 'store');
@@ -79,7 +79,7 @@
 			} else {
 				// What the store's history no longer holds is read in full.
 				this.#storeVersion = undefined;
-				this.#observeStore(result.failure.reason === 'history-gone', `${result.failure.reason}: ${result.failure.message}`);
+				this.#recordStoreAvailability(result.failure.reason === 'history-gone', `${result.failure.reason}: ${result.failure.message}`);
 				await pause(this.#backoff.getNextDelayMs());
 			}
 		}
@@ -91,9 +91,9 @@
 	}
 
 	/** Sets whether this VM reads the store itself; others tell it of new versions otherwise. */
-	setFollowing(isFollowing: boolean): void {
-		this.#isFollowing = isFollowing;
-		if (isFollowing) {
+	setPolling(isPolling: boolean): void {
+		this.#isPolling = isPolling;
+		if (isPolling) {
 			this.#wake?.();
 		}
 	}
@@ -110,18 +110,18 @@
 		});
 	}
 
-	async #waitForTurn(): Promise<void> {
-		while (!this.#isFollowing && !this.#isStopped) {
+	async #waitUntilPolling(): Promise<void> {
+		while (!this.#isPolling && !this.#isStopped) {
 			await new Promise<void>(resolve => {
 				this.#wake = resolve;
 			});
 		}
 	}
 
-	async #read(): Promise<StoreResult<ConfigurationReading>> {
+	async #read(): Promise<StoreResult<VersionedConfiguration>> {
 		return this.#storeVersion === undefined
-			? this.table.readConfiguration(callTimeoutMs)
-			: this.table.pollConfiguration(this.#storeVersion, pollWaitMs, pollWaitMs + callTimeoutMs);
+			? this.store.readConfiguration(callTimeoutMs)
+			: this.store.pollConfiguration(this.#storeVersion, pollWaitMs, pollWaitMs + callTimeoutMs);
 	}
 
 	#apply(configuration: GatewayConfiguration, source: string): void {
@@ -139,10 +139,10 @@
 		}
 	}
 
-	#observeStore(isThere: boolean, why: string): void {
-		if (this.#isStoreAway === isThere) {
-			this.#isStoreAway = !isThere;
-			this.log.logEvent(isThere ? 'store.regained' : 'store.lost', {call: 'configuration', why});
+	#recordStoreAvailability(isAvailable: boolean, why: string): void {
+		if (this.#isStoreUnavailable === isAvailable) {
+			this.#isStoreUnavailable = !isAvailable;
+			this.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'configuration', why});
 		}
 	}
 }
--- a/packages/gateway/src/configuration/index.ts
+++ b/packages/gateway/src/configuration/index.ts
@@ -1,4 +1,4 @@
 export type * from './gateway-configuration.js';
 export * from './configuration-view.js';
 export * from './configuration-codec.js';
-export * from './configuration-keeper.js';
+export * from './configuration-watcher.js';
--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -2,13 +2,13 @@
 import {
 	type Heartbeat, type parsePeerMessage, type CoordinatorReport, type TokenGrants, type TokenDemands,
 } from '@chicorysaddle/protocol/coordination';
-import {type ConfigurationKeeper, type ConfigurationView} from '../configuration/index.js';
+import {type ConfigurationWatcher, type ConfigurationView} from '../configuration/index.js';
 import {type Dispatcher} from '../dispatch/index.js';
-import {type InstanceKeeper, type InstanceRegistry} from '../instances/index.js';
+import {type InstanceWatcher, type InstanceRegistry} from '../instances/index.js';
 import {type AccountLimiter} from '../limits/index.js';
-import {type DecisionLog} from '../observability/index.js';
+import {type EventLog} from '../observability/index.js';
 import {
-	type AdjustableSettingsSource, type Clock, type CoordinationTable, type PeerLink, type PeerListening, type PeerNetwork,
+	type AdjustableSettingsSource, type Clock, type CoordinationStore, type PeerLink, type PeerServer, type PeerNetwork,
 } from '../ports/index.js';
 import {type TermRegistry} from '../terms/index.js';
 import {type Coordinator} from './coordinator.js';
@@ -84,21 +84,21 @@
 	readonly promoter: Promoter;
 	readonly terms: TermRegistry;
 	readonly configuration: ConfigurationView;
-	readonly configurationWatcher: ConfigurationKeeper;
+	readonly configurationWatcher: ConfigurationWatcher;
 	readonly instances: InstanceRegistry;
-	readonly instanceWatcher: InstanceKeeper;
+	readonly instanceWatcher: InstanceWatcher;
 	readonly dispatcher: Dispatcher;
 	readonly limiter: AccountLimiter;
-	readonly store: CoordinationTable;
+	readonly store: CoordinationStore;
 	readonly network: PeerNetwork;
 	readonly clock: Clock;
-	readonly log: DecisionLog;
+	readonly log: EventLog;
 	readonly getSettings: AdjustableSettingsSource;
 };
 
 /** Keeps this VM's place among the others: its leases, shares, and what it tells of itself. */
 export class ClusterMember {
-	#server: PeerListening | undefined;
+	#server: PeerServer | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#link: PeerLink | undefined;
 	#linkAddress = '';
@@ -144,7 +144,7 @@
 				}
 			});
 		});
-		dependencies.limiter.setChannel(async wants => this.#requestTokens(wants));
+		dependencies.limiter.setTokenRequester(async wants => this.#requestTokens(wants));
 		dependencies.configurationWatcher.onApplied(() => {
 			if (dependencies.coordinatorLease.isHeld()) {
 				dependencies.coordinator.pushReports();
@@ -217,12 +217,12 @@
 
 		this.#sendHeartbeat(now);
 		const isAlone = now - this.#coordinatorAnsweredAt > coordinatorTimeoutMs;
-		this.dependencies.instanceWatcher.setReading(isAlone);
+		this.dependencies.instanceWatcher.setPolling(isAlone);
 		if (isAlone) {
 			this.#instanceRevision = undefined;
 			// A VM that another one named and that does not answer is forgotten.
 			this.#coordinatorHint = now - this.#linkOpenedAt > coordinatorTimeoutMs ? undefined : this.#coordinatorHint;
-			this.dependencies.configurationWatcher.setFollowing(true);
+			this.dependencies.configurationWatcher.setPolling(true);
 		}
 
 		if (isAlone && now - this.#storePolledAt > this.#storePollIntervalMs && !this.#isPollingStore) {
@@ -233,8 +233,8 @@
 	#runCoordinatorTick(now: number): void {
 		this.#link?.close();
 		this.#link = undefined;
-		this.dependencies.instanceWatcher.setReading(true);
-		this.dependencies.configurationWatcher.setFollowing(true);
+		this.dependencies.instanceWatcher.setPolling(true);
+		this.dependencies.configurationWatcher.setPolling(true);
 		this.dependencies.terms.renewLease(this.dependencies.terms.getClockReading());
 		if (now - this.#heartbeatSentAt >= heartbeatIntervalMs) {
 			this.#heartbeatSentAt = now;
@@ -495,7 +495,7 @@
 	/** Lets the coordinator tell the instances that this VM knows, if it knows any list. */
 	#publishInstances(): void {
 		if (this.dependencies.instances.appliedAt !== undefined) {
-			this.dependencies.coordinator.setInstances([...this.dependencies.instances.getAll()], this.dependencies.clock.now());
+			this.dependencies.coordinator.setInstances([...this.dependencies.instances.getInstances()], this.dependencies.clock.now());
 		}
 	}
 
@@ -514,12 +514,12 @@
 
 	#applyReport(report: CoordinatorReport): void {
 		this.#isFollower = report.isFollower;
-		this.dependencies.limiter.setMembers(report.members);
+		this.dependencies.limiter.setMemberCount(report.members);
 		this.dependencies.dispatcher.setMemberCount(report.members);
-		this.dependencies.configurationWatcher.setFollowing(report.isFollower);
+		this.dependencies.configurationWatcher.setPolling(report.isFollower);
 		if (report.instances !== undefined && !this.dependencies.coordinatorLease.isHeld()) {
 			this.#instanceRevision = report.instances.revision;
-			this.dependencies.instanceWatcher.applyReported(report.instances.entries);
+			this.dependencies.instanceWatcher.applyReportedInstances(report.instances.entries);
 		}
 	}
 
@@ -614,7 +614,7 @@
 			this.dependencies.terms.renewLease(at);
 		}
 
-		this.dependencies.limiter.setMembers(state.members.size);
+		this.dependencies.limiter.setMemberCount(state.members.size);
 		this.dependencies.dispatcher.setMemberCount(state.members.size);
 		this.#vacantSince = this.dependencies.coordinatorLease.isVacant(state.coordinator) ? this.#vacantSince : undefined;
 		this.#coordinatorRow = state.coordinator;
--- a/packages/gateway/src/coordination/coordinator-lease.ts
+++ b/packages/gateway/src/coordination/coordinator-lease.ts
@@ -1,6 +1,6 @@
 import {DualClockLease, type ClockReading} from '@chicorysaddle/decisions';
-import {type DecisionLog} from '../observability/index.js';
-import {type Clock, type CoordinationTable, type SharedRowWrite} from '../ports/index.js';
+import {type EventLog} from '../observability/index.js';
+import {type Clock, type CoordinationStore, type SharedRowWrite} from '../ports/index.js';
 import {type GatewayIdentity} from './gateway-identity.js';
 import {coordinatorKey, type CoordinatorRow, parseSharedRows} from './shared-rows.js';
 
@@ -36,7 +36,7 @@
 	/** Times that the duty was taken or ended here. */
 	#transitionCount = 0;
 
-	constructor(private readonly store: CoordinationTable, private readonly identity: GatewayIdentity, private readonly clock: Clock, private readonly log: DecisionLog) {}
+	constructor(private readonly store: CoordinationStore, private readonly identity: GatewayIdentity, private readonly clock: Clock, private readonly log: EventLog) {}
 
 	/** Fencing token, while this VM holds the duty. */
 	get token(): number {
--- a/packages/gateway/src/coordination/promoter.ts
+++ b/packages/gateway/src/coordination/promoter.ts
@@ -3,9 +3,9 @@
 import {type ConfigurationView} from '../configuration/index.js';
 import {type Dispatcher} from '../dispatch/index.js';
 import {type Instance, type InstanceRegistry} from '../instances/index.js';
-import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
+import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {
-	type Clock, type CoordinationTable, type InstanceConnector, type PromotionService,
+	type Clock, type CoordinationStore, type InstanceConnector, type PromotionService,
 } from '../ports/index.js';
 import {type InstanceStatus} from '../statements/index.js';
 import {type GroupTerm, type TermRegistry} from '../terms/index.js';
@@ -59,11 +59,11 @@
 	readonly instances: InstanceRegistry;
 	readonly configuration: ConfigurationView;
 	readonly dispatcher: Dispatcher;
-	readonly store: CoordinationTable;
+	readonly store: CoordinationStore;
 	readonly connector: InstanceConnector;
 	readonly promotionService: PromotionService;
 	readonly clock: Clock;
-	readonly log: DecisionLog;
+	readonly log: EventLog;
 	readonly metrics: GatewayMetrics;
 };
 
--- a/packages/gateway/src/coordination/shared-rows.ts
+++ b/packages/gateway/src/coordination/shared-rows.ts
@@ -1,7 +1,7 @@
 import {
 	Codec, exactly, type GetType, number, oneOf, string,
 } from 'purify-ts';
-import {type DecisionLog} from '../observability/index.js';
+import {type EventLog} from '../observability/index.js';
 import {type SharedRow} from '../ports/index.js';
 import {type GroupTerm} from '../terms/index.js';
 
@@ -54,7 +54,7 @@
 }
 
 /** Reads the shared rows; one that cannot be read is logged and left out. */
-export function parseSharedRows(rows: readonly SharedRow[], log: DecisionLog): SharedState {
+export function parseSharedRows(rows: readonly SharedRow[], log: EventLog): SharedState {
 	let duty: CoordinatorRow | undefined;
 	const members = new Map<string, MemberRow>();
 	const terms = new Map<string, GroupTerm>();
@@ -81,7 +81,7 @@
 	return {coordinator: duty, members, terms};
 }
 
-function decodeRow<T>(codec: Codec<T>, row: SharedRow, value: unknown, log: DecisionLog): T | undefined {
+function decodeRow<T>(codec: Codec<T>, row: SharedRow, value: unknown, log: EventLog): T | undefined {
 	return codec.decode(value).ifLeft(reason => {
 		log.logEvent('row.unreadable', {key: row.key, reason});
 	}).toMaybe().extract();
--- a/packages/gateway/src/coordination/tcp-peer-network.ts
+++ b/packages/gateway/src/coordination/tcp-peer-network.ts
@@ -1,7 +1,7 @@
 import {createConnection, createServer, type Socket} from 'node:net';
 import {formatPeerMessage, parsePeerMessage, type PeerMessage} from '@chicorysaddle/protocol/coordination';
 import {
-	type PeerHandlers, type PeerLink, type PeerListening, type PeerNetwork,
+	type PeerHandlers, type PeerLink, type PeerServer, type PeerNetwork,
 } from '../ports/index.js';
 
 /** Longest line between VMs, characters: a configuration of thousands of routes. */
@@ -75,7 +75,7 @@
 		return new LinePeerLink(createConnection(parseSocketAddress(address)), () => handlers);
 	}
 
-	async listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerListening> {
+	async listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerServer> {
 		const server = createServer(socket => {
 			const link: PeerLink = new LinePeerLink(socket, () => handlers);
 			const handlers = accept(link);
--- a/packages/gateway/src/dispatch/dispatcher.ts
+++ b/packages/gateway/src/dispatch/dispatcher.ts
@@ -4,7 +4,7 @@
 import {type Refusal, refusals} from '@chicorysaddle/model';
 import {type ConfigurationView} from '../configuration/index.js';
 import {type Instance, type InstanceRegistry} from '../instances/index.js';
-import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
+import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {type AdjustableSettingsSource, type Clock, type InstanceConnector} from '../ports/index.js';
 import {type TermRegistry} from '../terms/index.js';
 import {InstancePool} from './instance-pool.js';
@@ -86,7 +86,7 @@
 	readonly connector: InstanceConnector;
 	readonly clock: Clock;
 	readonly metrics: GatewayMetrics;
-	readonly log: DecisionLog;
+	readonly log: EventLog;
 	/** Availability zone of this VM. */
 	readonly zone: string;
 	/** Returns numbers from zero up to one. */
--- a/packages/gateway/src/dispatch/instance-pool.ts
+++ b/packages/gateway/src/dispatch/instance-pool.ts
@@ -1,6 +1,6 @@
 import {type Instance} from '../instances/index.js';
 import {type Clock, type ConnectFailure, type InstanceConnector} from '../ports/index.js';
-import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
+import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {InstanceTracker} from './instance-tracker.js';
 import {PooledConnection} from './pooled-connection.js';
 
@@ -12,7 +12,7 @@
 	readonly connector: InstanceConnector;
 	readonly clock: Clock;
 	readonly metrics: GatewayMetrics;
-	readonly log: DecisionLog;
+	readonly log: EventLog;
 	/** Returns numbers from zero up to one. */
 	readonly random: () => number;
 	/** Called when a connection is free again, or gone. */
--- a/packages/gateway/src/dispatch/instance-tracker.ts
+++ b/packages/gateway/src/dispatch/instance-tracker.ts
@@ -1,7 +1,7 @@
 import {type PrimaryEvidence} from '@chicorysaddle/decisions';
 import {isAtLeast, type LogPosition} from '@chicorysaddle/model';
 import {type Instance} from '../instances/index.js';
-import {type DecisionLog} from '../observability/index.js';
+import {type EventLog} from '../observability/index.js';
 import {type StatementOutcome} from '../statements/index.js';
 
 /** Service time that is assumed of an instance before one was measured, milliseconds. */
@@ -59,7 +59,7 @@
 	#overload: {readonly reason: 'busy' | 'connection-limit'; readonly at: number} | undefined;
 
 	/** @param random - Returns numbers from zero up to one. */
-	constructor(readonly instance: Instance, private readonly log: DecisionLog, private readonly random: () => number) {}
+	constructor(readonly instance: Instance, private readonly log: EventLog, private readonly random: () => number) {}
 
 	get failingSince(): number | undefined {
 		return this.#failingSince;
--- a/packages/gateway/src/instances/index.ts
+++ b/packages/gateway/src/instances/index.ts
@@ -1,3 +1,3 @@
 export * from './instance.js';
 export * from './instance-registry.js';
-export * from './instance-keeper.js';
+export * from './instance-watcher.js';
--- a/packages/gateway/src/instances/instance-registry.ts
+++ b/packages/gateway/src/instances/instance-registry.ts
@@ -1,5 +1,5 @@
-import {type DecisionLog} from '../observability/index.js';
-import {type Instance, isSameInstance} from './instance.js';
+import {type EventLog} from '../observability/index.js';
+import {type Instance, isInstanceUnchanged} from './instance.js';
 
 /** Called with an instance that was added, changed (`before` and `after`) or removed. */
 export type InstanceListener = (before: Instance | undefined, after: Instance | undefined) => void;
@@ -11,7 +11,7 @@
 	readonly #drainingSince = new Map<string, number>();
 	#appliedAt: number | undefined;
 
-	constructor(private readonly log: DecisionLog) {}
+	constructor(private readonly log: EventLog) {}
 
 	/** Time of the last list, undefined before the first. */
 	get appliedAt(): number | undefined {
@@ -31,7 +31,7 @@
 		return [...this.#instances.values()].filter(instance => instance.group === group);
 	}
 
-	getAll(): Iterable<Instance> {
+	getInstances(): Iterable<Instance> {
 		return this.#instances.values();
 	}
 
@@ -43,7 +43,7 @@
 	 * Takes in the whole list; an instance that is missing from it is gone.
 	 * @param now - Steady time in milliseconds.
 	 */
-	applyList(instances: readonly Instance[], now: number): void {
+	setInstances(instances: readonly Instance[], now: number): void {
 		const before = this.#instances;
 		this.#instances = new Map(instances.map(instance => [instance.id, instance]));
 		this.#appliedAt = now;
@@ -55,21 +55,21 @@
 				this.#drainingSince.set(instance.id, now);
 			}
 
-			const known = before.get(instance.id);
-			if (known === undefined || !isSameInstance(known, instance)) {
-				this.#report(known, instance);
+			const previous = before.get(instance.id);
+			if (previous === undefined || !isInstanceUnchanged(previous, instance)) {
+				this.#notifyListeners(previous, instance);
 			}
 		}
 
 		for (const known of before.values()) {
 			if (!this.#instances.has(known.id)) {
 				this.#drainingSince.delete(known.id);
-				this.#report(known, undefined);
+				this.#notifyListeners(known, undefined);
 			}
 		}
 	}
 
-	#report(before: Instance | undefined, after: Instance | undefined): void {
+	#notifyListeners(before: Instance | undefined, after: Instance | undefined): void {
 		const instance = (after ?? before)!;
 		this.log.logEvent('instance.changed', {
 			instance: instance.id, group: instance.group, address: instance.address, state: after?.state ?? 'gone', role: instance.reportedRole, bornMs: instance.bornMs,
--- a/packages/gateway/src/instances/instance.ts
+++ b/packages/gateway/src/instances/instance.ts
@@ -14,7 +14,7 @@
 };
 
 /** Says whether two entries of one instance differ in anything but their age. */
-export function isSameInstance(a: Instance, b: Instance): boolean {
-	return a.id === b.id && a.group === b.group && a.address === b.address && a.zone === b.zone && a.slots === b.slots
-		&& a.state === b.state && a.reportedRole === b.reportedRole && a.bornMs === b.bornMs;
+export function isInstanceUnchanged(before: Instance, after: Instance): boolean {
+	return before.id === after.id && before.group === after.group && before.address === after.address && before.zone === after.zone && before.slots === after.slots
+		&& before.state === after.state && before.reportedRole === after.reportedRole && before.bornMs === after.bornMs;
 }
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -1,7 +1,7 @@
 import {refusals, type Refusal} from '@chicorysaddle/model';
-import {type ConfigurationKeeper} from '../configuration/index.js';
+import {type ConfigurationWatcher} from '../configuration/index.js';
 import {type ClusterMember} from '../coordination/index.js';
-import {type InstanceKeeper, type InstanceRegistry} from '../instances/index.js';
+import {type InstanceWatcher, type InstanceRegistry} from '../instances/index.js';
 import {type CallerConnection} from '../ports/index.js';
 import {CallerSession, type SessionIdentity, type SessionDependencies} from '../sessions/index.js';
 
@@ -20,7 +20,7 @@
 const drainPollMs = 25;
 
 /** Interval of the lines that sum up what was done, milliseconds. */
-const summaryMs = 2000;
+const summaryIntervalMs = 2000;
 
 /** Time after the start at which the histograms are loaded, milliseconds: callers of a restarted VM are served by then. */
 const histogramDelayMs = 5000;
@@ -39,16 +39,16 @@
 	constructor(
 		private readonly dependencies: SessionDependencies,
 		private readonly instances: InstanceRegistry,
-		private readonly configurationKeeper: ConfigurationKeeper,
-		private readonly instanceKeeper: InstanceKeeper,
+		private readonly configurationWatcher: ConfigurationWatcher,
+		private readonly instanceWatcher: InstanceWatcher,
 		private readonly member: ClusterMember,
 	) {
 		dependencies.metrics.addGauge('sessions', () => this.#sessions.size);
 		dependencies.metrics.addGauge('configuration_version', () => dependencies.configuration.version);
 		dependencies.metrics.addGauge('waiting', () => dependencies.dispatcher.countWaiting());
 		dependencies.metrics.addGauge('term_lease_ms', () => dependencies.terms.getLeaseRemainingMs());
-		configurationKeeper.onApplied(() => {
-			this.#closeRevoked();
+		configurationWatcher.onApplied(() => {
+			this.#closeRevokedSessions();
 		});
 	}
 
@@ -59,8 +59,8 @@
 
 	/** Starts the work that goes on in the background. */
 	async start(): Promise<void> {
-		void this.configurationKeeper.run();
-		void this.instanceKeeper.run();
+		void this.configurationWatcher.run();
+		void this.instanceWatcher.run();
 		await this.member.start();
 		setTimeout(() => {
 			void this.dependencies.metrics.loadHistograms();
@@ -68,14 +68,14 @@
 		setInterval(() => {
 			const {metrics, dispatcher, log} = this.dependencies;
 			log.logEvent('summary', {
-				gains: metrics.takeGains(), sessions: this.#sessions.size, waiting: dispatcher.countWaiting(), connections: dispatcher.describePools(),
+				gains: metrics.takeCounterIncreases(), sessions: this.#sessions.size, waiting: dispatcher.countWaiting(), connections: dispatcher.describePools(),
 			});
-		}, summaryMs).unref();
+		}, summaryIntervalMs).unref();
 	}
 
 	/** Opens a session for a caller, or rejects it. */
 	openSession(identity: SessionIdentity, caller: CallerConnection): CallerSession | undefined {
-		const refusal = this.#checkAcceptance(identity.database);
+		const refusal = this.#checkAcceptsSessions(identity.database);
 		const session: CallerSession = new CallerSession(this.dependencies, identity, caller, () => {
 			this.#sessions.delete(session);
 		});
@@ -97,7 +97,7 @@
 		return session;
 	}
 
-	#checkAcceptance(database: string): Refusal | undefined {
+	#checkAcceptsSessions(database: string): Refusal | undefined {
 		if (this.#drain.phase === 'refusing') {
 			return refusals.shuttingDown(retryAfterMs);
 		}
@@ -142,12 +142,12 @@
 
 	/** Ends the work in the background at once. */
 	stop(): void {
-		this.configurationKeeper.stop();
-		this.instanceKeeper.stop();
+		this.configurationWatcher.stop();
+		this.instanceWatcher.stop();
 		this.member.stop();
 	}
 
-	#closeRevoked(): void {
+	#closeRevokedSessions(): void {
 		for (const session of this.#sessions) {
 			session.closeIfRevoked();
 		}
--- a/packages/gateway/src/observability/decision-log.ts
+++ b/packages/gateway/src/observability/event-log.ts
@@ -12,19 +12,19 @@
 };
 
 /** Lines of one importance that are written in one second; what is beyond is counted. */
-const linesPerS: Readonly<Record<EventImportance, number>> = {state: 200, refusal: 20, success: 2};
+const maxLinesPerSecond: Readonly<Record<EventImportance, number>> = {state: 200, refusal: 20, success: 2};
 
 /** Bytes that may wait for a slow reader of standard output before lines are dropped. */
-const maxWaitingBytes = 262_144;
+const maxBufferedBytes = 262_144;
 
-const windowMs = 1000;
+const rateWindowMs = 1000;
 
 /** Writes decisions as JSON lines, bounded in rate and in memory. */
-export class DecisionLog {
+export class EventLog {
 	readonly #roarr;
 	#windowEndsAt = 0;
-	readonly #written: Record<EventImportance, number> = {state: 0, refusal: 0, success: 0};
-	#omitted = 0;
+	readonly #writtenLines: Record<EventImportance, number> = {state: 0, refusal: 0, success: 0};
+	#omittedLines = 0;
 
 	/** @param vm - Name of this VM, on every line. */
 	constructor(vm: string, private readonly output: LogOutput = process.stdout) {
@@ -41,28 +41,28 @@
 	 */
 	logEvent<Name extends EventName>(name: Name, fields: EventFieldsByName<Name>): void {
 		const now = Date.now();
-		if (now >= this.#windowEndsAt || now < this.#windowEndsAt - windowMs) {
+		if (now >= this.#windowEndsAt || now < this.#windowEndsAt - rateWindowMs) {
 			this.#startWindow(now);
 		}
 
 		const {importance} = eventCatalogue[name];
-		if (this.#written[importance] >= linesPerS[importance] || this.output.writableLength > maxWaitingBytes) {
-			this.#omitted += 1;
+		if (this.#writtenLines[importance] >= maxLinesPerSecond[importance] || this.output.writableLength > maxBufferedBytes) {
+			this.#omittedLines += 1;
 			return;
 		}
 
-		this.#written[importance] += 1;
+		this.#writtenLines[importance] += 1;
 		this.#roarr.info({...(fields as Record<string, string | number | boolean | undefined | Record<string, number>>)}, name);
 	}
 
 	#startWindow(now: number): void {
-		this.#windowEndsAt = now + windowMs;
-		this.#written.state = 0;
-		this.#written.refusal = 0;
-		this.#written.success = 0;
-		if (this.#omitted > 0 && this.output.writableLength <= maxWaitingBytes) {
-			this.#roarr.info({lines: this.#omitted}, 'log.omitted');
-			this.#omitted = 0;
+		this.#windowEndsAt = now + rateWindowMs;
+		this.#writtenLines.state = 0;
+		this.#writtenLines.refusal = 0;
+		this.#writtenLines.success = 0;
+		if (this.#omittedLines > 0 && this.output.writableLength <= maxBufferedBytes) {
+			this.#roarr.info({lines: this.#omittedLines}, 'log.omitted');
+			this.#omittedLines = 0;
 		}
 	}
 }
--- a/packages/gateway/src/observability/gateway-metrics.ts
+++ b/packages/gateway/src/observability/gateway-metrics.ts
@@ -1,23 +1,23 @@
 import {type Histogram} from './histogram-library.js';
 
 /** Waits and durations that are recorded. */
-export type Duration = 'statement' | 'place' | 'connect' | 'instance' | 'lease';
+export type DurationName = 'statement' | 'place' | 'connect' | 'instance' | 'lease';
 
-const durations: readonly Duration[] = ['statement', 'place', 'connect', 'instance', 'lease'];
+const durationNames: readonly DurationName[] = ['statement', 'place', 'connect', 'instance', 'lease'];
 const quantiles = [50, 90, 99, 99.9] as const;
 const microsecondsPerMs = 1000;
-const longestUs = 60_000_000;
+const maxDurationUs = 60_000_000;
 
 /** Durations that are kept until the histograms are loaded. */
-const maxEarly = 5000;
+const maxPendingDurations = 5000;
 
 /** Counters, gauges and durations of a gateway. */
 export class GatewayMetrics {
 	readonly #counters = new Map<string, number>();
-	readonly #reported = new Map<string, number>();
-	readonly #early: Array<{readonly duration: Duration; readonly value: number}> = [];
+	readonly #reportedCounters = new Map<string, number>();
+	readonly #pendingDurations: Array<{readonly duration: DurationName; readonly value: number}> = [];
 	readonly #gauges = new Map<string, () => number>();
-	readonly #histograms = new Map<Duration, Histogram>();
+	readonly #histograms = new Map<DurationName, Histogram>();
 
 	addCount(name: string): void {
 		this.#counters.set(name, (this.#counters.get(name) ?? 0) + 1);
@@ -28,11 +28,11 @@
 	}
 
 	/** Returns what the counters gained since the last call. */
-	takeGains(): Record<string, number> {
+	takeCounterIncreases(): Record<string, number> {
 		const gains: Record<string, number> = {};
 		for (const [name, value] of this.#counters) {
-			const gain = value - (this.#reported.get(name) ?? 0);
-			this.#reported.set(name, value);
+			const gain = value - (this.#reportedCounters.get(name) ?? 0);
+			this.#reportedCounters.set(name, value);
 			if (gain > 0) {
 				gains[name] = gain;
 			}
@@ -46,38 +46,38 @@
 		this.#gauges.set(name, read);
 	}
 
-	recordDuration(duration: Duration, ms: number): void {
-		const value = Math.min(longestUs, Math.max(1, Math.round(ms * microsecondsPerMs)));
+	recordDuration(duration: DurationName, ms: number): void {
+		const value = Math.min(maxDurationUs, Math.max(1, Math.round(ms * microsecondsPerMs)));
 		const histogram = this.#histograms.get(duration);
 		if (histogram !== undefined) {
 			histogram.recordValue(value);
-		} else if (this.#early.length < maxEarly) {
-			this.#early.push({duration, value});
+		} else if (this.#pendingDurations.length < maxPendingDurations) {
+			this.#pendingDurations.push({duration, value});
 		}
 	}
 
 	/** Loads the histograms: their library takes long to load, and a restarted VM has callers waiting. */
 	async loadHistograms(): Promise<void> {
 		const {build} = await import('./histogram-library.js');
-		for (const duration of durations) {
+		for (const duration of durationNames) {
 			this.#histograms.set(duration, build({
-				lowestDiscernibleValue: 1, highestTrackableValue: longestUs, numberOfSignificantValueDigits: 1, bitBucketSize: 32,
+				lowestDiscernibleValue: 1, highestTrackableValue: maxDurationUs, numberOfSignificantValueDigits: 1, bitBucketSize: 32,
 			}));
 		}
 
-		for (const {duration, value} of this.#early.splice(0)) {
+		for (const {duration, value} of this.#pendingDurations.splice(0)) {
 			this.#histograms.get(duration)!.recordValue(value);
 		}
 	}
 
 	/** Writes everything in the Prometheus text format. */
-	formatText(): string {
+	formatPrometheusText(): string {
 		const lines = [...this.#counters].map(([name, value]) => `chicorysaddle_${name.replaceAll(/\W/gv, '_')} ${value}`);
 		for (const [name, read] of this.#gauges) {
 			lines.push(`chicorysaddle_${name.replaceAll(/\W/gv, '_')} ${read()}`);
 		}
 
-		for (const duration of durations) {
+		for (const duration of durationNames) {
 			const histogram = this.#histograms.get(duration);
 			if (histogram !== undefined && histogram.totalCount > 0) {
 				lines.push(
--- a/packages/gateway/src/observability/index.ts
+++ b/packages/gateway/src/observability/index.ts
@@ -1,3 +1,3 @@
-export * from './counted-table.js';
-export * from './decision-log.js';
+export * from './instrumented-store.js';
+export * from './event-log.js';
 export * from './gateway-metrics.js';
--- /dev/null
+++ b/packages/gateway/src/observability/instrumented-store.ts
@@ -0,0 +1,23 @@
+import {type CoordinationStore} from '../ports/index.js';
+import {type GatewayMetrics} from './gateway-metrics.js';
+
+/** Wraps the store's tables so that each call is counted by its name, and each failure by its reason. */
+export function createInstrumentedStore(store: CoordinationStore, metrics: GatewayMetrics): CoordinationStore {
+	const instrument = <Arguments extends unknown[], Result extends {readonly kind: 'ok'} | {readonly kind: 'failed'; readonly failure: {readonly reason: string}}>(name: string, call: (...arguments_: Arguments) => Promise<Result>) => async (...arguments_: Arguments): Promise<Result> => {
+		metrics.addCount(`store_call_${name}`);
+		const result = await call(...arguments_);
+		if (result.kind === 'failed') {
+			metrics.addCount(`store_failed_${name}_${result.failure.reason}`);
+		}
+
+		return result;
+	};
+
+	return {
+		readSharedRows: instrument('read_shared', async timeoutMs => store.readSharedRows(timeoutMs)),
+		writeSharedRows: instrument('write_shared', async (writes, timeoutMs) => store.writeSharedRows(writes, timeoutMs)),
+		readInstances: instrument('read_instances', async timeoutMs => store.readInstances(timeoutMs)),
+		readConfiguration: instrument('read_configuration', async timeoutMs => store.readConfiguration(timeoutMs)),
+		pollConfiguration: instrument('poll_configuration', async (afterVersion, waitMs, timeoutMs) => store.pollConfiguration(afterVersion, waitMs, timeoutMs)),
+	};
+}
--- a/packages/gateway/src/ports/coordination-table.ts
+++ b/packages/gateway/src/ports/coordination-store.ts
@@ -34,19 +34,19 @@
 };
 
 /** Rows and objects of the platform that the gateway reads and writes. */
-export type CoordinationTable = {
+export type CoordinationStore = {
 	/** Reads all shared rows as of one moment. */
 	readSharedRows(timeoutMs: number): Promise<StoreResult<readonly SharedRow[]>>;
 	writeSharedRows(writes: readonly SharedRowWrite[], timeoutMs: number): Promise<StoreResult<WriteResult>>;
 	readInstances(timeoutMs: number): Promise<StoreResult<readonly Instance[]>>;
 	/** Reads the newest configuration with the version of the store at that moment. */
-	readConfiguration(timeoutMs: number): Promise<StoreResult<ConfigurationReading>>;
+	readConfiguration(timeoutMs: number): Promise<StoreResult<VersionedConfiguration>>;
 	/** Waits for a configuration newer than a version of the store; empty when the wait ended without one. */
-	pollConfiguration(afterVersion: number, waitMs: number, timeoutMs: number): Promise<StoreResult<ConfigurationReading>>;
+	pollConfiguration(afterVersion: number, waitMs: number, timeoutMs: number): Promise<StoreResult<VersionedConfiguration>>;
 };
 
 /** A configuration, if there was one, and the store's version from which to go on waiting. */
-export type ConfigurationReading = {
+export type VersionedConfiguration = {
 	readonly configuration: GatewayConfiguration | undefined;
 	readonly storeVersion: number;
 };
--- a/packages/gateway/src/ports/index.ts
+++ b/packages/gateway/src/ports/index.ts
@@ -1,7 +1,7 @@
 export type * from './adjustable-settings.js';
 export type * from './clock.js';
 export type * from './instance-connector.js';
-export type * from './coordination-table.js';
+export type * from './coordination-store.js';
 export type * from './promotion-service.js';
 export type * from './caller-connection.js';
 export type * from './peer-network.js';
--- a/packages/gateway/src/ports/peer-network.ts
+++ b/packages/gateway/src/ports/peer-network.ts
@@ -1,11 +1,11 @@
 import {type parsePeerMessage, type PeerMessage} from '@chicorysaddle/protocol/coordination';
 
 /** Called with each message; an invalid one is passed on as such. */
-export type PeerListener = (message: ReturnType<typeof parsePeerMessage>) => void;
+export type PeerMessageHandler = (message: ReturnType<typeof parsePeerMessage>) => void;
 
 /** What listens on a connection between two VMs. */
 export type PeerHandlers = {
-	readonly onMessage: PeerListener;
+	readonly onMessage: PeerMessageHandler;
 	readonly onClosed: () => void;
 };
 
@@ -17,7 +17,7 @@
 };
 
 /** A listener for other VMs. */
-export type PeerListening = {
+export type PeerServer = {
 	close(): void;
 };
 
@@ -26,5 +26,5 @@
 	/** Connects to a VM; the link may be used before it is open. */
 	connect(address: string, handlers: PeerHandlers): PeerLink;
 	/** Takes connections; `accept` returns what listens on each. */
-	listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerListening>;
+	listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerServer>;
 };
--- a/packages/gateway/src/ports/promotion-service.ts
+++ b/packages/gateway/src/ports/promotion-service.ts
@@ -1,5 +1,5 @@
 /** Who orders a promotion. */
-export type PromotionOrder = {
+export type PromotionRequest = {
 	readonly group: string;
 	readonly instanceId: string;
 	readonly holder: string;
@@ -12,5 +12,5 @@
 
 /** The platform's call that names a group's next primary. */
 export type PromotionService = {
-	promote(order: PromotionOrder, timeoutMs: number): Promise<PromotionResult>;
+	promote(order: PromotionRequest, timeoutMs: number): Promise<PromotionResult>;
 };
--- a/packages/gateway/src/sessions/caller-session.ts
+++ b/packages/gateway/src/sessions/caller-session.ts
@@ -349,13 +349,13 @@
 	}
 
 	async #takeOperation(account: string): Promise<number> {
-		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.takeOperation(account);
+		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.acquireOperation(account);
 	}
 
 	/** Counts an operation that no instance took as none: its account may use the right once more. */
 	#refundIfNotRun(operation: Operation, outcome: OperationOutcome): void {
 		if (outcome.kind === 'refused' && !operation.mayHaveRun) {
-			this.dependencies.limiter.giveBack(operation.account);
+			this.dependencies.limiter.releaseOperation(operation.account);
 		}
 	}
 
--- a/packages/gateway/src/sessions/session-dependencies.ts
+++ b/packages/gateway/src/sessions/session-dependencies.ts
@@ -1,7 +1,7 @@
 import {type ConfigurationView} from '../configuration/index.js';
 import {type Dispatcher} from '../dispatch/index.js';
 import {type AccountLimiter} from '../limits/index.js';
-import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
+import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {type Clock} from '../ports/index.js';
 import {type TermRegistry} from '../terms/index.js';
 
@@ -12,7 +12,7 @@
 	readonly limiter: AccountLimiter;
 	readonly terms: TermRegistry;
 	readonly clock: Clock;
-	readonly log: DecisionLog;
+	readonly log: EventLog;
 	readonly metrics: GatewayMetrics;
 };
 
--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -1,6 +1,6 @@
 import {type ClockReading, PositionHistory, DualClockLease} from '@chicorysaddle/decisions';
 import {type LogPosition} from '@chicorysaddle/model';
-import {type DecisionLog, type GatewayMetrics} from '../observability/index.js';
+import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {type Clock} from '../ports/index.js';
 
 /** Who leads a group. `closing` means that its primary may no longer be used. */
@@ -42,7 +42,7 @@
 
 	readonly #startedAt: number;
 
-	constructor(private readonly clock: Clock, private readonly log: DecisionLog, private readonly metrics: GatewayMetrics) {
+	constructor(private readonly clock: Clock, private readonly log: EventLog, private readonly metrics: GatewayMetrics) {
 		this.#startedAt = clock.now();
 	}
 
--- a/packages/gateway/src/tests/coordination/coordinator-lease.test.ts
+++ b/packages/gateway/src/tests/coordination/coordinator-lease.test.ts
@@ -1,13 +1,13 @@
 import test from 'ava';
 import {CoordinatorLease} from '../../coordination/index.js';
-import {DecisionLog} from '../../observability/index.js';
-import {FakeStore, FakeTable} from '../fakes/fake-table.js';
+import {EventLog} from '../../observability/index.js';
+import {FakeStore, FakeStoreClient} from '../fakes/fake-store.js';
 import {VirtualTime} from '../fakes/virtual-time.js';
 
 function createLease(store: FakeStore, time: VirtualTime, vm: string): CoordinatorLease {
-	return new CoordinatorLease(new FakeTable(vm, store), {
+	return new CoordinatorLease(new FakeStoreClient(vm, store), {
 		vm, zone: 'a', incarnation: `${vm}-1`, peerAddress: `${vm}:1`,
-	}, time, new DecisionLog(vm, {write: () => undefined, writableLength: 0}));
+	}, time, new EventLog(vm, {write: () => undefined, writableLength: 0}));
 }
 
 function readCoordinatorRow(store: FakeStore) {
@@ -30,7 +30,7 @@
 test.serial('a take-over whose answer was lost is found in the row', async t => {
 	const [store, time] = [new FakeStore(), new VirtualTime()];
 	const keeper = createLease(store, time, 'vm1');
-	store.trouble = 'answers-lost';
+	store.fault = 'answers-lost';
 	t.false(await time.waitFor(keeper.tryAcquire(undefined)));
 	t.false(keeper.isHeld());
 	keeper.resume(readCoordinatorRow(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
@@ -69,10 +69,10 @@
 	const [store, time] = [new FakeStore(), new VirtualTime()];
 	const keeper = createLease(store, time, 'vm1');
 	await time.waitFor(keeper.tryAcquire(undefined));
-	store.trouble = 'answers-lost';
+	store.fault = 'answers-lost';
 	const version = await time.waitFor(keeper.writeRowsIfHeld([{key: 'group/db', expectedVersion: 0, value: 'x'}]));
 	t.is(version, store.rows.get('group/db')!.version);
-	store.trouble = 'none';
+	store.fault = 'none';
 	await time.waitFor(createLease(store, time, 'vm2').tryAcquire(readCoordinatorRow(store)));
 	t.is(await time.waitFor(keeper.writeRowsIfHeld([{key: 'group/db', expectedVersion: version!, value: 'y'}])), undefined);
 	t.is(store.rows.get('group/db')!.value, 'x');
--- a/packages/gateway/src/tests/coordination/failover.test.ts
+++ b/packages/gateway/src/tests/coordination/failover.test.ts
@@ -68,12 +68,12 @@
 	await cluster.start();
 	const callers = ['vm1', 'vm2', 'vm3'].map(vm => cluster.openSession(vm, 'strict'));
 	await writeEverywhere(cluster, callers, 1);
-	cluster.database.cuts.add(`${cluster.getCoordinator()} db-1`);
+	cluster.database.unreachablePairs.add(`${cluster.getCoordinator()} db-1`);
 	for (let round = 0; round < 20; round++) {
 		await writeEverywhere(cluster, callers, 1);
 	}
 
-	t.is(cluster.database.orders.length, 0);
+	t.is(cluster.database.promotionRequests.length, 0);
 	t.is(cluster.getTermRow().primaryId, 'db-1');
 	cluster.stop();
 });
@@ -102,10 +102,10 @@
 	const callers = others.map(vm => cluster.openSession(vm, 'strict'));
 	await writeEverywhere(cluster, [stranded, ...callers], 2);
 	// Only the lost VM still reaches the old primary, and neither the store nor any other VM.
-	cluster.network.cut.add(lost);
-	cluster.store.troubles.set(lost, 'silent');
+	cluster.network.isolatedVms.add(lost);
+	cluster.store.faultsByVm.set(lost, 'silent');
 	for (const vm of others) {
-		cluster.database.cuts.add(`${vm} db-1`);
+		cluster.database.unreachablePairs.add(`${vm} db-1`);
 	}
 
 	cluster.store.instances = cluster.store.instances.filter(instance => instance.id !== 'db-1');
@@ -144,12 +144,12 @@
 	}
 
 	cluster.getGateway(coordinator).gateway.stop();
-	cluster.network.cut.add(coordinator);
-	cluster.store.troubles.set(coordinator, 'silent');
+	cluster.network.isolatedVms.add(coordinator);
+	cluster.store.faultsByVm.set(coordinator, 'silent');
 	t.true(await waitForPromotion(cluster, former, 12_000) < 12_000);
 	await cluster.time.waitFor(Promise.all(sent));
 	t.not(cluster.getCoordinator(), coordinator);
-	const tokens = cluster.database.orders.map(order => order.fencingToken);
+	const tokens = cluster.database.promotionRequests.map(order => order.fencingToken);
 	t.deepEqual(tokens, tokens.toSorted((a, b) => a - b));
 	t.is((await writeEverywhere(cluster, callers, 1)).get('completed'), 2);
 	cluster.stop();
@@ -159,7 +159,7 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const callers = ['vm1', 'vm2', 'vm3'].map(vm => cluster.openSession(vm, 'strict'));
-	cluster.store.trouble = 'silent';
+	cluster.store.fault = 'silent';
 	const startedAt = cluster.time.now();
 	const counts = new Map<string, number>();
 	while (cluster.time.now() < startedAt + 3900) {
@@ -172,7 +172,7 @@
 	}
 
 	t.deepEqual([...counts.keys()], ['completed']);
-	cluster.store.trouble = 'none';
+	cluster.store.fault = 'none';
 	await cluster.time.advance(8000);
 	t.is((await writeEverywhere(cluster, callers, 1)).get('completed'), 3);
 	cluster.stop();
@@ -183,17 +183,17 @@
 	await cluster.start();
 	const callers = ['vm1', 'vm2', 'vm3'].map(vm => cluster.openSession(vm, 'strict'));
 	await writeEverywhere(cluster, callers, 1);
-	cluster.store.trouble = 'answers-lost';
+	cluster.store.fault = 'answers-lost';
 	const former = cluster.database.primary;
 	former.crash();
 	const sent = callers.map(async caller => caller.send(write));
 	t.true(await waitForPromotion(cluster, former, 8000) < 8000);
 	await cluster.time.waitFor(Promise.all(sent));
-	cluster.store.trouble = 'none';
+	cluster.store.fault = 'none';
 	// The coordinator waits for the lost answer before it reads back.
 	await cluster.time.advance(1500);
 	t.is((await writeEverywhere(cluster, callers, 1)).get('completed'), 3);
-	t.is(new Set(cluster.database.orders.map(order => order.holder)).size, 1);
+	t.is(new Set(cluster.database.promotionRequests.map(order => order.holder)).size, 1);
 	cluster.stop();
 });
 
@@ -202,7 +202,7 @@
 	await cluster.start();
 	const callers = ['vm1', 'vm2', 'vm3'].map(vm => cluster.openSession(vm, 'strict'));
 	for (const jumpMs of [2400, -2400, 3000, -3000]) {
-		cluster.time.jump(jumpMs);
+		cluster.time.jumpWallTime(jumpMs);
 		t.is((await writeEverywhere(cluster, callers, 1)).get('completed'), 3, `${jumpMs} ms`);
 		await cluster.time.advance(1000);
 	}
@@ -213,10 +213,10 @@
 test.serial('a VM that the store turns away from its start learns everything from the others', async t => {
 	const cluster = new TestCluster(['vm1', 'vm2', 'vm3']);
 	await cluster.start();
-	cluster.store.troubles.set('late', 'busy');
+	cluster.store.faultsByVm.set('late', 'busy');
 	await cluster.startVm('late');
 	await cluster.time.advance(4000);
-	t.is(describeAnswer(await cluster.openSession('late', 'strict').ask(write)), 'signed q1-1');
+	t.is(describeAnswer(await cluster.openSession('late', 'strict').sendAndWait(write)), 'signed q1-1');
 	t.is(cluster.getGateway('late').gateway.isReady, true);
 	cluster.stop();
 });
@@ -241,7 +241,7 @@
 	const others = ['vm1', 'vm2', 'vm3'].filter(vm => vm !== coordinator);
 	const callers = others.map(vm => cluster.openSession(vm, 'strict'));
 	await writeEverywhere(cluster, callers, 1);
-	cluster.store.troubles.set(coordinator, 'busy');
+	cluster.store.faultsByVm.set(coordinator, 'busy');
 	await cluster.time.advance(3500);
 	const successor = cluster.getCoordinator();
 	t.true(others.includes(successor));
@@ -251,7 +251,7 @@
 	const sent = callers.map(async caller => caller.send(write));
 	t.true(await waitForPromotion(cluster, former, 4000) < 4000);
 	await cluster.time.waitFor(Promise.all(sent));
-	t.true(cluster.database.orders.every(order => order.holder === successor));
+	t.true(cluster.database.promotionRequests.every(order => order.holder === successor));
 	cluster.stop();
 });
 
@@ -259,9 +259,9 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const coordinator = cluster.getCoordinator();
-	cluster.store.trouble = 'busy';
+	cluster.store.fault = 'busy';
 	await cluster.time.advance(4000);
-	cluster.store.trouble = 'none';
+	cluster.store.fault = 'none';
 	await cluster.time.advance(2000);
 	t.is(cluster.getCoordinator(), coordinator);
 	cluster.stop();
@@ -274,7 +274,7 @@
 	const others = ['vm1', 'vm2', 'vm3'].filter(vm => vm !== lost).map(vm => cluster.openSession(vm, 'strict'));
 	const stranded = cluster.openSession(lost, 'strict');
 	await writeEverywhere(cluster, [stranded, ...others], 1);
-	cluster.database.cuts.add(`${lost} db-1`);
+	cluster.database.unreachablePairs.add(`${lost} db-1`);
 	let waitedMs = 0;
 	for (let round = 0; round < 60; round++) {
 		const startedAt = cluster.time.now();
@@ -286,11 +286,11 @@
 	}
 
 	t.true(waitedMs < 100, `${waitedMs} ms`);
-	cluster.database.cuts.clear();
+	cluster.database.unreachablePairs.clear();
 	await cluster.time.advance(500);
-	await stranded.ask(write);
+	await stranded.sendAndWait(write);
 	await cluster.time.advance(2000);
-	t.true(describeAnswer(await stranded.ask(write)).startsWith('signed'));
+	t.true(describeAnswer(await stranded.sendAndWait(write)).startsWith('signed'));
 	cluster.stop();
 });
 
@@ -314,13 +314,13 @@
 	await cluster.start();
 	const coordinator = cluster.getCoordinator();
 	const caller = cluster.openSession(['vm1', 'vm2', 'vm3'].find(vm => vm !== coordinator)!, 'strict');
-	await caller.ask(write);
+	await caller.sendAndWait(write);
 	cluster.getGateway(coordinator).gateway.stop();
 	// Its successor process takes the duty at once, while the list of instances cannot be read.
 	cluster.store.areInstancesReadable = false;
 	await cluster.startVm(coordinator);
 	await cluster.time.advance(2500);
-	t.true(describeAnswer(await caller.ask(write)).startsWith('signed'));
+	t.true(describeAnswer(await caller.sendAndWait(write)).startsWith('signed'));
 	cluster.stop();
 });
 
@@ -330,14 +330,14 @@
 	await cluster.start();
 	const coordinator = cluster.getCoordinator();
 	cluster.getGateway(coordinator).gateway.stop();
-	cluster.network.cut.add(coordinator);
-	cluster.store.trouble = 'busy';
+	cluster.network.isolatedVms.add(coordinator);
+	cluster.store.fault = 'busy';
 	await cluster.time.advance(1500);
 	const names = ['read_shared', 'read_instances', 'read_configuration', 'poll_configuration', 'write_shared'];
 	const count = (vm: string) => names.map(name => cluster.getGateway(vm).metrics.getCount(`store_call_${name}`)).reduce((sum, one) => sum + one, 0);
 	const others = vms.filter(vm => vm !== coordinator);
 	const before = new Map(others.map(vm => [vm, count(vm)]));
-	const sentBefore = cluster.network.sent;
+	const sentBefore = cluster.network.sentMessages;
 	await cluster.time.advance(4000);
 	for (const vm of others) {
 		// Shared rows every 800 ms, instances and configuration once a second in the long run.
@@ -345,7 +345,7 @@
 	}
 
 	// A heartbeat every 400 ms, and its answer.
-	const sent = (cluster.network.sent - sentBefore) / others.length / 4;
+	const sent = (cluster.network.sentMessages - sentBefore) / others.length / 4;
 	t.true(sent <= 7, `${sent} messages a second a VM`);
 	cluster.stop();
 });
@@ -355,10 +355,10 @@
 	await cluster.start();
 	cluster.getGateway('vm1').gateway.stop();
 	const caller = cluster.openSession('vm1', 'strict');
-	cluster.store.troubles.set('vm1', 'silent');
+	cluster.store.faultsByVm.set('vm1', 'silent');
 	await cluster.time.advance(2500);
 	const startedAt = cluster.time.now();
-	const answer = await caller.ask(write);
+	const answer = await caller.sendAndWait(write);
 	t.is(describeAnswer(answer), 'no-primary');
 	t.true(cluster.time.now() - startedAt < 50, `${cluster.time.now() - startedAt} ms`);
 	t.true(answer.result.kind === 'refused' && answer.result.refusal.retryAfterMs >= 400);
--- a/packages/gateway/src/tests/dispatch/dispatcher.test.ts
+++ b/packages/gateway/src/tests/dispatch/dispatcher.test.ts
@@ -15,7 +15,7 @@
 		const session = cluster.openSession(vms[index % vms.length]!, 'strict', accounts[(index * 7) % accounts.length]);
 		const answer = await session.send(write);
 		second.served += answer.result.kind === 'completed' ? 1 : 0;
-		session.leave();
+		session.disconnect();
 	};
 
 	while (cluster.time.now() < startedAt + (forS * 1000)) {
--- a/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
+++ b/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
@@ -1,9 +1,9 @@
 import test from 'ava';
 import {InstanceTracker} from '../../dispatch/index.js';
-import {DecisionLog} from '../../observability/index.js';
+import {EventLog} from '../../observability/index.js';
 import {type StatementOutcome} from '../../statements/index.js';
 
-const log = new DecisionLog('vm1', {write: () => undefined, writableLength: 0});
+const log = new EventLog('vm1', {write: () => undefined, writableLength: 0});
 
 const busy: StatementOutcome = {
 	kind: 'error', error: 'busy', message: '', state: 'idle', position: undefined,
--- a/packages/gateway/src/tests/fakes/fake-database.ts
+++ b/packages/gateway/src/tests/fakes/fake-database.ts
@@ -1,7 +1,7 @@
 import {comparePositions, type LogPosition} from '@chicorysaddle/model';
 import {type Instance} from '../../instances/index.js';
 import {
-	type ConnectResult, type InstanceConnection, type InstanceConnector, type PromotionOrder, type PromotionResult, type PromotionService,
+	type ConnectResult, type InstanceConnection, type InstanceConnector, type PromotionRequest, type PromotionResult, type PromotionService,
 } from '../../ports/index.js';
 import {
 	type InstanceErrorKind, type InstanceStatus, type OutgoingStatement, type SessionState, type StatementOutcome,
@@ -34,7 +34,7 @@
 	handshakeMs?: number;
 };
 
-const startMs = 2;
+const connectDelayMs = 2;
 
 /** An instance of a group. */
 export class FakeInstance {
@@ -46,13 +46,13 @@
 
 	constructor(readonly id: string, readonly database: FakeDatabase) {}
 
-	#busy = 0;
+	#occupiedSlots = 0;
 	readonly #queue: Array<() => void> = [];
 
 	/** Takes a slot for a while; false when too many wait already. */
-	async occupy(ms: number, isHandshake = false): Promise<boolean> {
+	async occupySlot(ms: number, isHandshake = false): Promise<boolean> {
 		const {slots = Number.POSITIVE_INFINITY, queue = 0} = this.database.options;
-		if (this.#busy >= slots) {
+		if (this.#occupiedSlots >= slots) {
 			if (!isHandshake && this.#queue.length >= queue) {
 				return false;
 			}
@@ -62,9 +62,9 @@
 			});
 		}
 
-		this.#busy += 1;
+		this.#occupiedSlots += 1;
 		await pause(ms);
-		this.#busy -= 1;
+		this.#occupiedSlots -= 1;
 		this.#queue.shift()?.();
 		return true;
 	}
@@ -90,13 +90,13 @@
 export class FakeDatabase implements PromotionService {
 	readonly instances: FakeInstance[];
 	readonly events: DatabaseEvent[] = [];
-	readonly orders: PromotionOrder[] = [];
+	readonly promotionRequests: PromotionRequest[] = [];
 	/** Promotions that took effect, with the log of the instance that leads since. */
 	readonly promotions: Array<{readonly at: number; readonly term: number; readonly position: LogPosition}> = [];
 	/** Pairs of VM and instance that cannot reach each other. */
-	readonly cuts = new Set<string>();
+	readonly unreachablePairs = new Set<string>();
 	/** Errors that the next statements of a kind get. */
-	readonly planned: Array<{readonly kind: string; readonly error: InstanceErrorKind | 'lost-after' | 'lost-before'}> = [];
+	readonly plannedErrors: Array<{readonly kind: string; readonly error: InstanceErrorKind | 'lost-after' | 'lost-before'}> = [];
 	term = 1;
 
 	constructor(readonly group: string, count: number, private readonly getNow: () => number, readonly options: FakeDatabaseOptions) {
@@ -114,11 +114,11 @@
 		}));
 	}
 
-	isCut(vm: string, instance: FakeInstance): boolean {
-		return this.cuts.has(`${vm} ${instance.id}`);
+	isUnreachable(vm: string, instance: FakeInstance): boolean {
+		return this.unreachablePairs.has(`${vm} ${instance.id}`);
 	}
 
-	record(event: Omit<DatabaseEvent, 'at'>): void {
+	recordEvent(event: Omit<DatabaseEvent, 'at'>): void {
 		this.events.push({...event, at: this.getNow()});
 	}
 
@@ -139,9 +139,9 @@
 		return position;
 	}
 
-	async promote(order: PromotionOrder): Promise<PromotionResult> {
-		this.orders.push(order);
-		const target = this.instances.find(instance => instance.id === order.instanceId);
+	async promote(request: PromotionRequest): Promise<PromotionResult> {
+		this.promotionRequests.push(request);
+		const target = this.instances.find(instance => instance.id === request.instanceId);
 		if (target?.isAlive !== true) {
 			return 'rejected';
 		}
@@ -169,19 +169,19 @@
 
 /** Reaches the instances of several groups for one VM. */
 export class FakeConnector implements InstanceConnector {
-	opened = 0;
+	openedConnections = 0;
 
 	constructor(private readonly vm: string, private readonly databases: readonly FakeDatabase[]) {}
 
 	async open(target: Instance, account: string, timeoutMs: number): Promise<ConnectResult> {
 		const database = this.databases.find(candidate => candidate.group === target.group)!;
 		const instance = database.instances.find(candidate => candidate.id === target.id)!;
-		if (database.isCut(this.vm, instance)) {
+		if (database.isUnreachable(this.vm, instance)) {
 			await pause(timeoutMs);
 			return {kind: 'failed', failure: {reason: 'silent', message: 'no answer'}};
 		}
 
-		await pause(startMs);
+		await pause(connectDelayMs);
 		if (!instance.isAlive) {
 			return {kind: 'failed', failure: {reason: 'refused', message: 'refused'}};
 		}
@@ -190,8 +190,8 @@
 			return {kind: 'failed', failure: {reason: 'connection-limit', message: 'MAXCONN'}};
 		}
 
-		await instance.occupy(database.options.handshakeMs ?? 0, true);
-		this.opened += 1;
+		await instance.occupySlot(database.options.handshakeMs ?? 0, true);
+		this.openedConnections += 1;
 		return {kind: 'opened', connection: new FakeConnection(this.vm, instance, account), position: instance.position};
 	}
 }
@@ -204,8 +204,8 @@
 	#state: SessionState = 'idle';
 	#hasWritten = false;
 	#isReadOnly = false;
-	readonly #closed: Array<() => void> = [];
-	readonly #cutters = new Set<() => void>();
+	readonly #closeListeners: Array<() => void> = [];
+	readonly #abortCallbacks = new Set<() => void>();
 
 	constructor(private readonly vm: string, private readonly instance: FakeInstance, private readonly account: string) {
 		instance.connections.add(this);
@@ -214,7 +214,7 @@
 	async run(statements: readonly OutgoingStatement[], timeoutMs: number): Promise<StatementOutcome[]> {
 		const outcomes: StatementOutcome[] = [];
 		for (const statement of statements) {
-			outcomes.push(await this.#runWithin(statement, timeoutMs));
+			outcomes.push(await this.#runWithTimeout(statement, timeoutMs));
 		}
 
 		return outcomes;
@@ -229,45 +229,45 @@
 	}
 
 	onClosed(listener: () => void): void {
-		this.#closed.push(listener);
+		this.#closeListeners.push(listener);
 	}
 
 	close(): void {
 		if (this.isOpen) {
 			this.isOpen = false;
 			this.instance.connections.delete(this);
-			for (const cut of this.#cutters) {
-				cut();
+			for (const abort of this.#abortCallbacks) {
+				abort();
 			}
 
-			for (const listener of this.#closed) {
+			for (const listener of this.#closeListeners) {
 				listener();
 			}
 		}
 	}
 
-	async #runWithin(statement: OutgoingStatement, timeoutMs: number): Promise<StatementOutcome> {
+	async #runWithTimeout(statement: OutgoingStatement, timeoutMs: number): Promise<StatementOutcome> {
 		if (!this.isOpen) {
 			return {kind: 'broken', reason: 'closed'};
 		}
 
 		return new Promise(resolve => {
 			const cut = () => {
-				this.#cutters.delete(cut);
+				this.#abortCallbacks.delete(cut);
 				clearTimeout(timer);
 				resolve({kind: 'broken', reason: 'closed'});
 			};
 
 			const timer = setTimeout(() => {
-				this.#cutters.delete(cut);
+				this.#abortCallbacks.delete(cut);
 				resolve({kind: 'broken', reason: 'timeout'});
 				this.close();
 			}, timeoutMs);
-			this.#cutters.add(cut);
+			this.#abortCallbacks.add(cut);
 			void (async () => {
 				const outcome = await this.#runStatement(statement);
-				if (outcome !== undefined && this.isOpen && !this.instance.database.isCut(this.vm, this.instance)) {
-					this.#cutters.delete(cut);
+				if (outcome !== undefined && this.isOpen && !this.instance.database.isUnreachable(this.vm, this.instance)) {
+					this.#abortCallbacks.delete(cut);
 					clearTimeout(timer);
 					resolve(outcome);
 				}
@@ -278,13 +278,13 @@
 	async #runStatement(outgoing: OutgoingStatement): Promise<StatementOutcome | undefined> {
 		const {database} = this.instance;
 		const {statement} = outgoing;
-		if (database.isCut(this.vm, this.instance)) {
+		if (database.isUnreachable(this.vm, this.instance)) {
 			return undefined;
 		}
 
-		const isWork = ['read', 'write', 'execute', 'commit'].includes(statement.kind);
-		const hasRoom = isWork ? await this.instance.occupy(database.options.serviceMs) : await pause(1).then(() => true);
-		if (!hasRoom) {
+		const isQuery = ['read', 'write', 'execute', 'commit'].includes(statement.kind);
+		const isAdmitted = isQuery ? await this.instance.occupySlot(database.options.serviceMs) : await pause(1).then(() => true);
+		if (!isAdmitted) {
 			return this.#refuse('busy');
 		}
 
@@ -292,8 +292,8 @@
 			return undefined;
 		}
 
-		const index = database.planned.findIndex(plan => plan.kind === statement.kind);
-		const [plan] = index === -1 ? [] : database.planned.splice(index, 1);
+		const index = database.plannedErrors.findIndex(plan => plan.kind === statement.kind);
+		const [plan] = index === -1 ? [] : database.plannedErrors.splice(index, 1);
 		if (plan?.error === 'lost-before') {
 			this.close();
 			return undefined;
@@ -349,12 +349,12 @@
 
 			case 'execute': {
 				const shape = this.prepared.get(statement.name);
-				return shape === undefined ? this.#refuse('no-statement') : this.#work(id!, shape.startsWith('write'), shape);
+				return shape === undefined ? this.#refuse('no-statement') : this.#runReadOrWrite(id!, shape.startsWith('write'), shape);
 			}
 
 			case 'read':
 			case 'write': {
-				return this.#work(id!, statement.kind === 'write', undefined);
+				return this.#runReadOrWrite(id!, statement.kind === 'write', undefined);
 			}
 
 			case 'commit': {
@@ -372,7 +372,7 @@
 		}
 	}
 
-	#work(id: string, isWrite: boolean, shape: string | undefined): StatementOutcome {
+	#runReadOrWrite(id: string, isWrite: boolean, shape: string | undefined): StatementOutcome {
 		const isLost = this.#state === 'in-transaction' && !this.#isReadOnly && this.instance.role !== 'primary';
 		if ((isWrite && (this.instance.role !== 'primary' || this.#isReadOnly)) || isLost) {
 			return this.#refuse('not-primary');
@@ -404,7 +404,7 @@
 	}
 
 	#record(kind: DatabaseEvent['kind'], requestId: string, position: LogPosition, shape: string | undefined): void {
-		this.instance.database.record({
+		this.instance.database.recordEvent({
 			kind, requestId, position, shape, instanceId: this.instance.id, account: this.account, values: new Map(this.values),
 		});
 	}
--- a/packages/gateway/src/tests/fakes/fake-network.ts
+++ b/packages/gateway/src/tests/fakes/fake-network.ts
@@ -1,6 +1,6 @@
 import {formatPeerMessage, parsePeerMessage, type PeerMessage} from '@chicorysaddle/protocol/coordination';
 import {
-	type PeerHandlers, type PeerLink, type PeerListening, type PeerNetwork,
+	type PeerHandlers, type PeerLink, type PeerServer, type PeerNetwork,
 } from '../../ports/index.js';
 
 const delayMs = 2;
@@ -9,25 +9,25 @@
 export class FakeSwitch {
 	readonly listeners = new Map<string, (link: PeerLink) => PeerHandlers>();
 	/** VMs that cannot send to or receive from any other. */
-	readonly cut = new Set<string>();
+	readonly isolatedVms = new Set<string>();
 	/** Messages sent by all VMs. */
-	sent = 0;
+	sentMessages = 0;
 }
 
 /** One end of a link. */
 class FakeLink implements PeerLink {
 	isOpen = true;
-	other: FakeLink | undefined;
+	remote: FakeLink | undefined;
 	handlers: PeerHandlers | undefined;
 
 	constructor(private readonly network: FakeSwitch, private readonly from: string, private readonly to: string) {}
 
 	send(message: PeerMessage): void {
 		const text = formatPeerMessage(message);
-		this.network.sent += 1;
+		this.network.sentMessages += 1;
 		setTimeout(() => {
-			if (this.isOpen && this.other?.isOpen === true && !this.network.cut.has(this.from) && !this.network.cut.has(this.to)) {
-				this.other.handlers?.onMessage(parsePeerMessage(text.trimEnd()));
+			if (this.isOpen && this.remote?.isOpen === true && !this.network.isolatedVms.has(this.from) && !this.network.isolatedVms.has(this.to)) {
+				this.remote.handlers?.onMessage(parsePeerMessage(text.trimEnd()));
 			}
 		}, delayMs);
 	}
@@ -37,8 +37,8 @@
 			this.isOpen = false;
 			this.handlers?.onClosed();
 			// A cut swallows the close like anything else.
-			if (!this.network.cut.has(this.from) && !this.network.cut.has(this.to)) {
-				this.other?.close();
+			if (!this.network.isolatedVms.has(this.from) && !this.network.isolatedVms.has(this.to)) {
+				this.remote?.close();
 			}
 		}
 	}
@@ -50,24 +50,24 @@
 
 	connect(address: string, handlers: PeerHandlers): PeerLink {
 		const to = address.split(':')[0]!;
-		const near = new FakeLink(this.network, this.vm, to);
-		near.handlers = handlers;
+		const localEnd = new FakeLink(this.network, this.vm, to);
+		localEnd.handlers = handlers;
 		const accept = this.network.listeners.get(address);
 		if (accept === undefined) {
 			setTimeout(() => {
-				near.close();
+				localEnd.close();
 			}, delayMs);
-			return near;
+			return localEnd;
 		}
 
-		const far = new FakeLink(this.network, to, this.vm);
-		near.other = far;
-		far.other = near;
-		far.handlers = accept(far);
-		return near;
+		const remoteEnd = new FakeLink(this.network, to, this.vm);
+		localEnd.remote = remoteEnd;
+		remoteEnd.remote = localEnd;
+		remoteEnd.handlers = accept(remoteEnd);
+		return localEnd;
 	}
 
-	async listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerListening> {
+	async listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerServer> {
 		this.network.listeners.set(address, accept);
 		return {
 			close: () => {
--- a/packages/gateway/src/tests/fakes/fake-table.ts
+++ b/packages/gateway/src/tests/fakes/fake-store.ts
@@ -1,30 +1,30 @@
 import {type GatewayConfiguration} from '../../configuration/index.js';
 import {type Instance} from '../../instances/index.js';
 import {
-	type ConfigurationReading, type CoordinationTable, type SharedRow, type SharedRowWrite, type StoreResult, type WriteResult,
+	type VersionedConfiguration, type CoordinationStore, type SharedRow, type SharedRowWrite, type StoreResult, type WriteResult,
 } from '../../ports/index.js';
 
 /** How the store treats a VM. */
-export type StoreTrouble = 'none' | 'busy' | 'silent' | 'answers-lost';
+export type StoreFault = 'none' | 'busy' | 'silent' | 'answers-lost';
 
-const answerMs = 4;
+const responseDelayMs = 4;
 
 /** The shared rows, instances and configuration of a test, with the store's troubles. */
 export class FakeStore {
 	readonly rows = new Map<string, SharedRow>();
 	instances: Instance[] = [];
 	configuration: GatewayConfiguration | undefined;
-	readonly troubles = new Map<string, StoreTrouble>();
+	readonly faultsByVm = new Map<string, StoreFault>();
 	/** Whether calls for the instances are answered. */
 	areInstancesReadable = true;
-	trouble: StoreTrouble = 'none';
+	fault: StoreFault = 'none';
 	version = 0;
-	readonly waiting = new Set<() => void>();
+	readonly pollWaiters = new Set<() => void>();
 
 	setConfiguration(configuration: GatewayConfiguration): void {
 		this.version += 1;
 		this.configuration = configuration;
-		for (const wake of this.waiting) {
+		for (const wake of this.pollWaiters) {
 			wake();
 		}
 	}
@@ -48,7 +48,7 @@
 }
 
 /** The store as one VM reaches it. */
-export class FakeTable implements CoordinationTable {
+export class FakeStoreClient implements CoordinationStore {
 	constructor(private readonly vm: string, private readonly store: FakeStore) {}
 
 	async readSharedRows(timeoutMs: number): Promise<StoreResult<readonly SharedRow[]>> {
@@ -65,19 +65,19 @@
 			: {kind: 'failed', failure: {reason: 'busy', message: 'status 503'}};
 	}
 
-	async readConfiguration(timeoutMs: number): Promise<StoreResult<ConfigurationReading>> {
+	async readConfiguration(timeoutMs: number): Promise<StoreResult<VersionedConfiguration>> {
 		return this.#call(timeoutMs, () => ({configuration: this.store.configuration, storeVersion: this.store.version}));
 	}
 
-	async pollConfiguration(afterVersion: number, waitMs: number, timeoutMs: number): Promise<StoreResult<ConfigurationReading>> {
+	async pollConfiguration(afterVersion: number, waitMs: number, timeoutMs: number): Promise<StoreResult<VersionedConfiguration>> {
 		if (this.store.version <= afterVersion) {
 			await new Promise<void>(resolve => {
 				const wake = () => {
-					this.store.waiting.delete(wake);
+					this.store.pollWaiters.delete(wake);
 					resolve();
 				};
 
-				this.store.waiting.add(wake);
+				this.store.pollWaiters.add(wake);
 				setTimeout(wake, waitMs);
 			});
 		}
@@ -86,7 +86,7 @@
 	}
 
 	async #call<T>(timeoutMs: number, work: () => T, isWrite = false): Promise<StoreResult<T>> {
-		const trouble = this.store.trouble === 'none' ? this.store.troubles.get(this.vm) ?? 'none' : this.store.trouble;
+		const trouble = this.store.fault === 'none' ? this.store.faultsByVm.get(this.vm) ?? 'none' : this.store.fault;
 		if (trouble === 'busy') {
 			return {kind: 'failed', failure: {reason: 'busy', message: 'status 503'}};
 		}
@@ -100,7 +100,7 @@
 			return {kind: 'failed', failure: {reason: 'lost', message: 'no answer'}};
 		}
 
-		await pause(answerMs);
+		await pause(responseDelayMs);
 		return {kind: 'ok', value: work()};
 	}
 }
--- a/packages/gateway/src/tests/fakes/test-cluster.ts
+++ b/packages/gateway/src/tests/fakes/test-cluster.ts
@@ -7,7 +7,7 @@
 import {createGateway, type WiredGateway} from '../../wiring/index.js';
 import {FakeConnector, FakeDatabase} from './fake-database.js';
 import {FakeNetwork, FakeSwitch} from './fake-network.js';
-import {FakeStore, FakeTable} from './fake-table.js';
+import {FakeStore, FakeStoreClient} from './fake-store.js';
 import {VirtualTime} from './virtual-time.js';
 
 /** Keeps what is logged. */
@@ -26,7 +26,7 @@
 	rejection: Refusal | undefined;
 	isClosed = false;
 	readonly #session: CallerSession | undefined;
-	#count = 0;
+	#requestCount = 0;
 	#onAnswer: ((answer: CallerAnswer) => void) | undefined;
 
 	constructor(private readonly cluster: TestCluster, private readonly name: string, gateway: WiredGateway['gateway'], database: string, key: string) {
@@ -49,7 +49,7 @@
 
 	/** Id of the newest request. */
 	get requestId(): string {
-		return `${this.name}-${this.#count}`;
+		return `${this.name}-${this.#requestCount}`;
 	}
 
 	get session(): CallerSession {
@@ -58,7 +58,7 @@
 
 	/** Sends a statement without waiting. */
 	async send(statement: Statement): Promise<CallerAnswer> {
-		this.#count += 1;
+		this.#requestCount += 1;
 		return new Promise(resolve => {
 			this.#onAnswer = resolve;
 			this.#session!.handleStatement({id: this.requestId, statement});
@@ -66,11 +66,11 @@
 	}
 
 	/** Sends a statement and waits for its answer. */
-	async ask(statement: Statement): Promise<CallerAnswer> {
+	async sendAndWait(statement: Statement): Promise<CallerAnswer> {
 		return this.cluster.time.waitFor(this.send(statement));
 	}
 
-	leave(): void {
+	disconnect(): void {
 		this.#session?.handleCallerClosed();
 	}
 }
@@ -132,8 +132,8 @@
 	readonly gateways = new Map<string, WiredGateway>();
 	readonly connectors = new Map<string, FakeConnector>();
 	readonly log = new LogSink();
-	#callers = 0;
-	#incarnations = 0;
+	#callerCount = 0;
+	#startedVms = 0;
 
 	constructor(private readonly vms: readonly string[] = ['vm1', 'vm2', 'vm3']) {
 		this.database = new FakeDatabase('db', 3, () => this.time.now(), {
@@ -153,12 +153,12 @@
 	}
 
 	async startVm(vm: string): Promise<void> {
-		this.#incarnations += 1;
+		this.#startedVms += 1;
 		const connector = new FakeConnector(vm, [this.database]);
 		const gateway = createGateway({
-			vm, zone: 'a', incarnation: `run-${this.#incarnations}`, peerAddress: `${vm}:1`,
+			vm, zone: 'a', incarnation: `run-${this.#startedVms}`, peerAddress: `${vm}:1`,
 		}, {
-			clock: this.time, table: new FakeTable(vm, this.store), connector, promotion: this.database, network: new FakeNetwork(vm, this.network), getSettings: () => ({
+			clock: this.time, store: new FakeStoreClient(vm, this.store), connector, promotion: this.database, network: new FakeNetwork(vm, this.network), getSettings: () => ({
 				drainMs: 7000, limitWindowMs: 5000, capacity: 1, seeds: this.vms.map(name => `${name}:1`),
 			}), logOutput: this.log,
 		});
@@ -169,8 +169,8 @@
 
 	/** Opens a session on a VM. */
 	openSession(vm: string, database: string, key = 'large'): TestCaller {
-		this.#callers += 1;
-		return new TestCaller(this, `q${this.#callers}`, this.gateways.get(vm)!.gateway, database, key);
+		this.#callerCount += 1;
+		return new TestCaller(this, `q${this.#callerCount}`, this.gateways.get(vm)!.gateway, database, key);
 	}
 
 	getGateway(vm: string): WiredGateway {
--- a/packages/gateway/src/tests/fakes/virtual-time.ts
+++ b/packages/gateway/src/tests/fakes/virtual-time.ts
@@ -24,7 +24,7 @@
 	}
 
 	/** Lets the time of day jump. */
-	jump(ms: number): void {
+	jumpWallTime(ms: number): void {
 		this.#wallOffset += ms;
 	}
 
--- a/packages/gateway/src/tests/instances/instance-registry.test.ts
+++ b/packages/gateway/src/tests/instances/instance-registry.test.ts
@@ -1,21 +1,21 @@
 import test from 'ava';
 import {type Instance, InstanceRegistry} from '../../instances/index.js';
-import {DecisionLog} from '../../observability/index.js';
+import {EventLog} from '../../observability/index.js';
 
 const instance: Instance = {
 	id: 'i-1', group: 'db', address: 'i-1:1', zone: 'a', slots: 2, state: 'ready', reportedRole: 'primary', bornMs: 1,
 };
 
 test('the time since when an instance drains begins with its notice and ends when it is ready again or gone', t => {
-	const registry = new InstanceRegistry(new DecisionLog('vm1', {write: () => undefined, writableLength: 0}));
-	registry.applyList([instance], 0);
+	const registry = new InstanceRegistry(new EventLog('vm1', {write: () => undefined, writableLength: 0}));
+	registry.setInstances([instance], 0);
 	t.is(registry.getDrainingSince('i-1'), undefined);
-	registry.applyList([{...instance, state: 'draining'}], 100);
-	registry.applyList([{...instance, state: 'draining'}], 200);
+	registry.setInstances([{...instance, state: 'draining'}], 100);
+	registry.setInstances([{...instance, state: 'draining'}], 200);
 	t.is(registry.getDrainingSince('i-1'), 100);
-	registry.applyList([{...instance, bornMs: 2}], 300);
+	registry.setInstances([{...instance, bornMs: 2}], 300);
 	t.is(registry.getDrainingSince('i-1'), undefined);
-	registry.applyList([{...instance, state: 'draining'}], 400);
-	registry.applyList([], 500);
+	registry.setInstances([{...instance, state: 'draining'}], 400);
+	registry.setInstances([], 500);
 	t.is(registry.getDrainingSince('i-1'), undefined);
 });
--- a/packages/gateway/src/tests/limits/limits.test.ts
+++ b/packages/gateway/src/tests/limits/limits.test.ts
@@ -5,11 +5,11 @@
 
 /** The window over which deployments count, milliseconds, and what they allow beyond the limit. */
 const windowMs = 5000;
-const overage = 0.1;
+const allowedOverage = 0.1;
 const slack = 20;
 
 /** Sends reads of one account at a pace from every VM, and returns when each was run. */
-async function sendAtPace(cluster: TestCluster, vms: readonly string[], perS: number, forMs: number): Promise<{asked: number; refused: number}> {
+async function sendAtRate(cluster: TestCluster, vms: readonly string[], perS: number, forMs: number): Promise<{asked: number; refused: number}> {
 	const figures = {asked: 0, refused: 0};
 	const pending = new Set<Promise<void>>();
 	const sessions = new Map(vms.map(vm => [vm, [] as Array<ReturnType<TestCluster['openSession']>>]));
@@ -68,8 +68,8 @@
 	const cluster = new TestCluster();
 	cluster.database.options.serviceMs = 1;
 	await cluster.start(createLimited(40, 40));
-	const even = await sendAtPace(cluster, ['vm1', 'vm2', 'vm3'], 30, 4000);
-	const uneven = await sendAtPace(cluster, ['vm2'], 30, 4000);
+	const even = await sendAtRate(cluster, ['vm1', 'vm2', 'vm3'], 30, 4000);
+	const uneven = await sendAtRate(cluster, ['vm2'], 30, 4000);
 	t.is(even.refused, 0);
 	t.is(uneven.refused, 0);
 	cluster.stop();
@@ -79,11 +79,11 @@
 	const cluster = new TestCluster();
 	cluster.database.options.serviceMs = 1;
 	await cluster.start(createLimited(40, 40));
-	const figures = await sendAtPace(cluster, ['vm1', 'vm2', 'vm3'], 320, 8000);
+	const figures = await sendAtRate(cluster, ['vm1', 'vm2', 'vm3'], 320, 8000);
 	const served = cluster.database.events.length;
 	t.true(figures.refused > 0);
 	t.true(served >= 40 * 8);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + overage)) + slack);
+	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + slack);
 	cluster.stop();
 });
 
@@ -91,13 +91,13 @@
 	const cluster = new TestCluster();
 	cluster.database.options.serviceMs = 1;
 	await cluster.start(createLimited(40, 40));
-	await sendAtPace(cluster, ['vm1', 'vm2', 'vm3'], 320, 4000);
+	await sendAtRate(cluster, ['vm1', 'vm2', 'vm3'], 320, 4000);
 	const lost = ['vm1', 'vm2', 'vm3'].find(vm => vm !== cluster.getCoordinator())!;
-	cluster.network.cut.add(lost);
-	const cut = await sendAtPace(cluster, ['vm1', 'vm2', 'vm3'], 320, 6000);
+	cluster.network.isolatedVms.add(lost);
+	const cut = await sendAtRate(cluster, ['vm1', 'vm2', 'vm3'], 320, 6000);
 	t.true(cut.asked > cut.refused);
 	t.deepEqual(cluster.log.events.filter(({name}) => name === 'limits.local').map(({vm}) => vm), [lost]);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + overage)) + slack, `${countBusiestWindow(cluster)}`);
+	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + slack, `${countBusiestWindow(cluster)}`);
 	cluster.stop();
 });
 
@@ -105,15 +105,15 @@
 	const cluster = new TestCluster();
 	cluster.database.options.serviceMs = 1;
 	await cluster.start(createLimited(40, 40));
-	await sendAtPace(cluster, ['vm1', 'vm2', 'vm3'], 320, 3000);
+	await sendAtRate(cluster, ['vm1', 'vm2', 'vm3'], 320, 3000);
 	const coordinator = cluster.getCoordinator();
 	cluster.getGateway(coordinator).gateway.stop();
-	cluster.network.cut.add(coordinator);
-	cluster.store.troubles.set(coordinator, 'silent');
+	cluster.network.isolatedVms.add(coordinator);
+	cluster.store.faultsByVm.set(coordinator, 'silent');
 	const others = ['vm1', 'vm2', 'vm3'].filter(vm => vm !== coordinator);
-	await sendAtPace(cluster, others, 320, 12_000);
+	await sendAtRate(cluster, others, 320, 12_000);
 	t.not(cluster.getCoordinator(), coordinator);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + overage)) + slack, `${countBusiestWindow(cluster)}`);
+	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + slack, `${countBusiestWindow(cluster)}`);
 	cluster.stop();
 });
 
@@ -121,12 +121,12 @@
 	const cluster = new TestCluster();
 	await cluster.start(createLimited(40, 40));
 	const lost = ['vm1', 'vm2', 'vm3'].find(vm => vm !== cluster.getCoordinator())!;
-	cluster.network.cut.add(lost);
-	cluster.store.troubles.set(lost, 'silent');
-	await sendAtPace(cluster, [lost], 20, 4000);
-	cluster.network.cut.delete(lost);
-	cluster.store.troubles.delete(lost);
-	await sendAtPace(cluster, [lost], 20, 4000);
+	cluster.network.isolatedVms.add(lost);
+	cluster.store.faultsByVm.set(lost, 'silent');
+	await sendAtRate(cluster, [lost], 20, 4000);
+	cluster.network.isolatedVms.delete(lost);
+	cluster.store.faultsByVm.delete(lost);
+	await sendAtRate(cluster, [lost], 20, 4000);
 	const names = cluster.log.events.filter(({vm}) => vm === lost).map(({name}) => name);
 	for (const name of ['term-lease.lost', 'limits.local', 'limits.shared']) {
 		t.is(names.filter(other => other === name).length, 1, name);
@@ -141,7 +141,7 @@
 	const cluster = new TestCluster(vms);
 	cluster.database.options.serviceMs = 1;
 	await cluster.start(createLimited(40, 40));
-	await sendAtPace(cluster, vms, 320, 6500);
+	await sendAtRate(cluster, vms, 320, 6500);
 	for (const {gateway} of cluster.gateways.values()) {
 		gateway.stop();
 	}
@@ -154,8 +154,8 @@
 	}
 
 	await cluster.time.advance(150);
-	await sendAtPace(cluster, others, 320, 3000);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + overage)) + slack, `${countBusiestWindow(cluster)}`);
+	await sendAtRate(cluster, others, 320, 3000);
+	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + slack, `${countBusiestWindow(cluster)}`);
 	t.true(cluster.database.events.length > 300, 'the account is served before and after');
 	cluster.stop();
 });
--- a/packages/gateway/src/tests/observability/decision-log.test.ts
+++ b/packages/gateway/src/tests/observability/event-log.test.ts
@@ -1,5 +1,5 @@
 import test from 'ava';
-import {DecisionLog} from '../../observability/index.js';
+import {EventLog} from '../../observability/index.js';
 
 test('a reader that stalls costs no memory: lines are dropped, counted, and the count is written when it reads again', t => {
 	const written: string[] = [];
@@ -10,7 +10,7 @@
 			output.writableLength += text.length;
 		},
 	};
-	const log = new DecisionLog('vm1', output);
+	const log = new EventLog('vm1', output);
 	for (let index = 0; index < 100; index++) {
 		log.logEvent('term.adopted', {
 			group: 'x'.repeat(10_000), term: 1, primary: 'db-1', phase: 'open', revision: index, before: undefined,
@@ -25,7 +25,7 @@
 
 test('successes are sampled and refusals are limited, state changes are not', t => {
 	const counts: Record<string, number> = {};
-	const log = new DecisionLog('vm1', {
+	const log = new EventLog('vm1', {
 		write(text: string) {
 			const {message} = JSON.parse(text) as {message: string};
 			counts[message] = (counts[message] ?? 0) + 1;
--- a/packages/gateway/src/tests/sessions/sessions.test.ts
+++ b/packages/gateway/src/tests/sessions/sessions.test.ts
@@ -10,13 +10,13 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const writer = cluster.openSession('vm1', 'strict');
-	await writer.ask(write);
+	await writer.sendAndWait(write);
 	await cluster.time.advance(100);
 	const readers = Array.from({length: 12}, () => cluster.openSession('vm1', 'bounded'));
 	await cluster.time.waitFor(Promise.all(readers.map(async reader => reader.send(read))));
 	const bounded = cluster.database.events.filter(event => event.kind === 'read');
 	t.true(bounded.filter(event => event.instanceId !== 'db-1').length >= 6);
-	await writer.ask(read);
+	await writer.sendAndWait(read);
 	t.is(cluster.database.events.at(-1)!.instanceId, 'db-1');
 	cluster.stop();
 });
@@ -27,8 +27,8 @@
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'own');
 	for (let round = 0; round < 5; round++) {
-		await session.ask(write);
-		await session.ask(read);
+		await session.sendAndWait(write);
+		await session.sendAndWait(read);
 		const [written, seen] = cluster.database.events.slice(-2);
 		t.true(seen!.position.offset >= written!.position.offset);
 	}
@@ -43,9 +43,9 @@
 	const writer = cluster.openSession('vm2', 'strict');
 	const reader = cluster.openSession('vm1', 'bounded');
 	for (let round = 0; round < 30; round++) {
-		await writer.ask(write);
+		await writer.sendAndWait(write);
 		const startedAt = cluster.time.now();
-		await reader.ask(read);
+		await reader.sendAndWait(read);
 		const commits = cluster.database.events.filter(event => event.kind === 'commit' && event.at < startedAt - 1500);
 		const seen = cluster.database.events.findLast(event => event.kind === 'read')!;
 		t.true(commits.every(event => event.position.offset <= seen.position.offset));
@@ -59,12 +59,12 @@
 	const cluster = new TestCluster(['vm1']);
 	await cluster.start(createConfiguration(1, {groups: [{name: 'db', maxConnections: 2}]}));
 	const first = cluster.openSession('vm1', 'strict');
-	t.is(describeAnswer(await first.ask(begin)), 'acknowledged');
-	t.is(describeAnswer(await first.ask(write)), 'signed q1-2');
+	t.is(describeAnswer(await first.sendAndWait(begin)), 'acknowledged');
+	t.is(describeAnswer(await first.sendAndWait(write)), 'signed q1-2');
 	const second = cluster.openSession('vm1', 'strict');
-	t.is(describeAnswer(await second.ask(write)), 'signed q2-1');
+	t.is(describeAnswer(await second.sendAndWait(write)), 'signed q2-1');
 	t.is(cluster.database.events.length, 1, 'the first write is not committed yet');
-	const answer = await first.ask(commit);
+	const answer = await first.sendAndWait(commit);
 	t.is(describeAnswer(answer), 'signed q1-3');
 	t.is(answer.state, 'idle');
 	t.is(cluster.database.events.length, 2);
@@ -76,10 +76,10 @@
 	await cluster.start(createConfiguration(1, {groups: [{name: 'db', maxConnections: 1}]}));
 	const sessions = ['red', 'blue'].map(color => ({color, session: cluster.openSession('vm1', 'strict')}));
 	for (const {color, session} of sessions) {
-		await session.ask({
+		await session.sendAndWait({
 			kind: 'set', text: 'SET color x', name: 'color', value: color,
 		});
-		await session.ask({
+		await session.sendAndWait({
 			kind: 'prepare', text: 'PREPARE s READ shape', name: 's', access: 'read', shape: `shape-${color}`,
 		});
 	}
@@ -89,7 +89,7 @@
 	};
 	for (let round = 0; round < 4; round++) {
 		for (const {color, session} of sessions) {
-			t.is(describeAnswer(await session.ask(execute)), `signed ${session.requestId}`);
+			t.is(describeAnswer(await session.sendAndWait(execute)), `signed ${session.requestId}`);
 			const event = cluster.database.events.at(-1)!;
 			t.is(event.values.get('color'), color);
 			t.is(event.shape, `read shape-${color}`);
@@ -97,9 +97,9 @@
 	}
 
 	const plain = cluster.openSession('vm1', 'strict');
-	await plain.ask(read);
+	await plain.sendAndWait(read);
 	t.is(cluster.database.events.at(-1)!.values.size, 0);
-	t.is(describeAnswer(await plain.ask(execute)), 'prepared-not-found');
+	t.is(describeAnswer(await plain.sendAndWait(execute)), 'prepared-not-found');
 	cluster.stop();
 });
 
@@ -107,10 +107,10 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
-	cluster.database.planned.push({kind: 'write', error: 'lost-after'}, {kind: 'read', error: 'lost-before'}, {kind: 'read', error: 'failed'});
-	t.is(describeAnswer(await session.ask(write)), 'outcome-unknown');
+	cluster.database.plannedErrors.push({kind: 'write', error: 'lost-after'}, {kind: 'read', error: 'lost-before'}, {kind: 'read', error: 'failed'});
+	t.is(describeAnswer(await session.sendAndWait(write)), 'outcome-unknown');
 	t.is(cluster.database.events.filter(event => event.kind === 'commit').length, 1);
-	t.is(describeAnswer(await session.ask(read)), 'signed q1-2');
+	t.is(describeAnswer(await session.sendAndWait(read)), 'signed q1-2');
 	cluster.stop();
 });
 
@@ -118,8 +118,8 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
-	cluster.database.planned.push({kind: 'write', error: 'busy'}, {kind: 'write', error: 'busy'});
-	t.is(describeAnswer(await session.ask(write)), 'signed q1-1');
+	cluster.database.plannedErrors.push({kind: 'write', error: 'busy'}, {kind: 'write', error: 'busy'});
+	t.is(describeAnswer(await session.sendAndWait(write)), 'signed q1-1');
 	t.is(cluster.database.events.length, 1);
 	cluster.stop();
 });
@@ -128,21 +128,21 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
-	await session.ask(begin);
-	cluster.database.planned.push({kind: 'write', error: 'lost-after'});
-	const broken = await session.ask(write);
+	await session.sendAndWait(begin);
+	cluster.database.plannedErrors.push({kind: 'write', error: 'lost-after'});
+	const broken = await session.sendAndWait(write);
 	t.is(describeAnswer(broken), 'transaction-lost');
 	t.is(broken.state, 'failed-transaction');
-	t.is(describeAnswer(await session.ask(read)), 'invalid-request');
-	t.is((await session.ask(rollBack)).state, 'idle');
-	await session.ask(begin);
-	await session.ask(write);
-	cluster.database.planned.push({kind: 'commit', error: 'lost-after'});
-	t.is(describeAnswer(await session.ask(commit)), 'outcome-unknown');
-	await session.ask(beginRead);
-	await session.ask(read);
-	cluster.database.planned.push({kind: 'commit', error: 'lost-after'});
-	t.is(describeAnswer(await session.ask(commit)), 'transaction-lost', 'nothing was written');
+	t.is(describeAnswer(await session.sendAndWait(read)), 'invalid-request');
+	t.is((await session.sendAndWait(rollBack)).state, 'idle');
+	await session.sendAndWait(begin);
+	await session.sendAndWait(write);
+	cluster.database.plannedErrors.push({kind: 'commit', error: 'lost-after'});
+	t.is(describeAnswer(await session.sendAndWait(commit)), 'outcome-unknown');
+	await session.sendAndWait(beginRead);
+	await session.sendAndWait(read);
+	cluster.database.plannedErrors.push({kind: 'commit', error: 'lost-after'});
+	t.is(describeAnswer(await session.sendAndWait(commit)), 'transaction-lost', 'nothing was written');
 	cluster.stop();
 });
 
@@ -150,10 +150,10 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
-	await session.ask(begin);
-	cluster.database.planned.push({kind: 'write', error: 'failed'});
-	t.is(describeAnswer(await session.ask(write)), 'statement-failed');
-	const answer = await session.ask(commit);
+	await session.sendAndWait(begin);
+	cluster.database.plannedErrors.push({kind: 'write', error: 'failed'});
+	t.is(describeAnswer(await session.sendAndWait(write)), 'statement-failed');
+	const answer = await session.sendAndWait(commit);
 	t.is(describeAnswer(answer), 'transaction-lost');
 	t.is(answer.state, 'idle');
 	t.is(cluster.database.events.length, 0);
@@ -164,11 +164,11 @@
 	const cluster = new TestCluster(['vm1']);
 	await cluster.start(createConfiguration(1, {groups: [{name: 'db', maxConnections: 1}]}));
 	const leaver = cluster.openSession('vm1', 'strict');
-	await leaver.ask(begin);
-	await leaver.ask(write);
-	leaver.leave();
+	await leaver.sendAndWait(begin);
+	await leaver.sendAndWait(write);
+	leaver.disconnect();
 	await cluster.time.advance(50);
-	t.is(describeAnswer(await cluster.openSession('vm1', 'strict').ask(write)), 'signed q2-1');
+	t.is(describeAnswer(await cluster.openSession('vm1', 'strict').sendAndWait(write)), 'signed q2-1');
 	t.is(cluster.database.events.length, 1);
 	cluster.stop();
 });
@@ -177,10 +177,10 @@
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
-	await session.ask(begin);
-	await session.ask(write);
+	await session.sendAndWait(begin);
+	await session.sendAndWait(write);
 	await cluster.time.advance(3500);
-	t.is(describeAnswer(await session.ask(commit)), 'transaction-lost');
+	t.is(describeAnswer(await session.sendAndWait(commit)), 'transaction-lost');
 	t.is(cluster.database.events.length, 0);
 	cluster.stop();
 });
@@ -190,16 +190,16 @@
 	await cluster.start();
 	t.is(cluster.openSession('vm1', 'nowhere').rejection!.kind, 'unknown-route');
 	t.is(cluster.openSession('vm1', 'strict', 'nobody').rejection!.kind, 'unauthenticated');
-	t.is(describeAnswer(await cluster.openSession('vm1', 'open', 'nobody').ask(read)), 'signed q3-1');
+	t.is(describeAnswer(await cluster.openSession('vm1', 'open', 'nobody').sendAndWait(read)), 'signed q3-1');
 	const idle = cluster.openSession('vm1', 'strict', 'small');
 	const busy = cluster.openSession('vm2', 'strict', 'small');
-	await busy.ask(begin);
-	await busy.ask(write);
+	await busy.sendAndWait(begin);
+	await busy.sendAndWait(write);
 	const accounts = createConfiguration(2).accounts.filter(account => account.name !== 'small');
 	cluster.store.setConfiguration(createConfiguration(2, {accounts}));
 	await cluster.time.advance(1500);
 	t.true(idle.isClosed);
-	t.is(describeAnswer(await busy.ask(commit)), 'unauthenticated');
+	t.is(describeAnswer(await busy.sendAndWait(commit)), 'unauthenticated');
 	t.is(cluster.database.events.filter(event => event.kind === 'commit').length, 0);
 	cluster.stop();
 });
@@ -211,7 +211,7 @@
 			name: 'agency', keyDigests: ['secret'], priority: 1, ratePerS: 10, burst: 10,
 		}],
 	}));
-	await cluster.openSession('vm1', 'strict', 'secret').ask(write);
+	await cluster.openSession('vm1', 'strict', 'secret').sendAndWait(write);
 	t.is(cluster.database.events[0]!.account, 'agency');
 	cluster.stop();
 });
@@ -221,9 +221,9 @@
 	await cluster.start(createConfiguration(1, {maxStatementBytes: 20}));
 	const caller = cluster.openSession('vm1', 'strict');
 	const before = cluster.database.events.length;
-	t.is(describeAnswer(await caller.ask({kind: 'write', text: `WRITE x ${'y'.repeat(13)}`})), 'invalid-request');
+	t.is(describeAnswer(await caller.sendAndWait({kind: 'write', text: `WRITE x ${'y'.repeat(13)}`})), 'invalid-request');
 	t.is(cluster.database.events.length, before);
-	t.not(describeAnswer(await caller.ask({kind: 'write', text: `WRITE x ${'y'.repeat(12)}`})), 'invalid-request');
+	t.not(describeAnswer(await caller.sendAndWait({kind: 'write', text: `WRITE x ${'y'.repeat(12)}`})), 'invalid-request');
 	t.is(cluster.database.events.length, before + 1);
 	cluster.stop();
 });
@@ -232,11 +232,11 @@
 	const cluster = new TestCluster(['vm1']);
 	await cluster.start();
 	const writer = cluster.openSession('vm1', 'strict');
-	await writer.ask(write);
+	await writer.sendAndWait(write);
 	await cluster.time.advance(100);
 	const readers = Array.from({length: 12}, () => cluster.openSession('vm1', 'bounded'));
 	await cluster.time.waitFor(Promise.all(readers.map(async reader => reader.send(read))));
-	cluster.database.cuts.add('vm1 db-2');
+	cluster.database.unreachablePairs.add('vm1 db-2');
 	const startedAt = cluster.time.now();
 	const times: number[] = [];
 	await cluster.time.waitFor(Promise.all(readers.map(async reader => {
--- a/packages/gateway/src/wiring/create-gateway.ts
+++ b/packages/gateway/src/wiring/create-gateway.ts
@@ -1,16 +1,16 @@
-import {ConfigurationKeeper, ConfigurationView} from '../configuration/index.js';
+import {ConfigurationWatcher, ConfigurationView} from '../configuration/index.js';
 import {
 	ClusterMember, Coordinator, CoordinatorLease, type GatewayIdentity, Promoter,
 } from '../coordination/index.js';
 import {Dispatcher} from '../dispatch/index.js';
-import {InstanceKeeper, InstanceRegistry} from '../instances/index.js';
+import {InstanceWatcher, InstanceRegistry} from '../instances/index.js';
 import {Gateway} from '../lifecycle/index.js';
 import {AccountLimiter} from '../limits/index.js';
 import {
-	countTableCalls, DecisionLog, GatewayMetrics, type LogOutput,
+	createInstrumentedStore, EventLog, GatewayMetrics, type LogOutput,
 } from '../observability/index.js';
 import {
-	type AdjustableSettingsSource, type Clock, type CoordinationTable, type InstanceConnector, type PeerNetwork, type PromotionService,
+	type AdjustableSettingsSource, type Clock, type CoordinationStore, type InstanceConnector, type PeerNetwork, type PromotionService,
 } from '../ports/index.js';
 import {type SessionDependencies} from '../sessions/index.js';
 import {TermRegistry} from '../terms/index.js';
@@ -18,7 +18,7 @@
 /** What a gateway is connected to. */
 export type GatewayPorts = {
 	readonly clock: Clock;
-	readonly table: CoordinationTable;
+	readonly store: CoordinationStore;
 	readonly connector: InstanceConnector;
 	readonly promotion: PromotionService;
 	readonly network: PeerNetwork;
@@ -30,22 +30,22 @@
 /** A gateway with what its surroundings may look at. */
 export type WiredGateway = {
 	readonly gateway: Gateway;
-	readonly log: DecisionLog;
+	readonly log: EventLog;
 	readonly metrics: GatewayMetrics;
 	readonly terms: TermRegistry;
 };
 
 /** Wires the parts of a gateway; it is the only place that does. */
 export function createGateway(identity: GatewayIdentity, {
-	clock, table: storeTable, connector, promotion, network, getSettings, logOutput,
+	clock, store: storeTable, connector, promotion, network, getSettings, logOutput,
 }: GatewayPorts): WiredGateway {
-	const log = new DecisionLog(identity.vm, logOutput);
+	const log = new EventLog(identity.vm, logOutput);
 	const metrics = new GatewayMetrics();
-	const table = countTableCalls(storeTable, metrics);
+	const table = createInstrumentedStore(storeTable, metrics);
 	const configuration = new ConfigurationView();
-	const configurationKeeper = new ConfigurationKeeper(table, configuration, Math.random, log);
+	const configurationWatcher = new ConfigurationWatcher(table, configuration, Math.random, log);
 	const instances = new InstanceRegistry(log);
-	const instanceKeeper = new InstanceKeeper(table, instances, clock, Math.random, log);
+	const instanceWatcher = new InstanceWatcher(table, instances, clock, Math.random, log);
 	const terms = new TermRegistry(clock, log, metrics);
 	const dispatcher = new Dispatcher({
 		configuration, instances, terms, connector, clock, metrics, log, zone: identity.zone, random: Math.random, getSettings,
@@ -59,12 +59,12 @@
 		vm: identity.vm, coordinatorLease, coordinator, terms, instances, configuration, dispatcher, store: table, connector, promotionService: promotion, clock, log, metrics,
 	});
 	const member = new ClusterMember({
-		identity, coordinatorLease, coordinator, promoter, terms, configuration, configurationWatcher: configurationKeeper, instances, instanceWatcher: instanceKeeper, dispatcher, limiter, store: table, network, clock, log, getSettings,
+		identity, coordinatorLease, coordinator, promoter, terms, configuration, configurationWatcher, instances, instanceWatcher, dispatcher, limiter, store: table, network, clock, log, getSettings,
 	});
 	const sessionDependencies: SessionDependencies = {
 		configuration, dispatcher, limiter, terms, clock, log, metrics,
 	};
 	return {
-		gateway: new Gateway(sessionDependencies, instances, configurationKeeper, instanceKeeper, member), log, metrics, terms,
+		gateway: new Gateway(sessionDependencies, instances, configurationWatcher, instanceWatcher, member), log, metrics, terms,
 	};
 }
