--- a/examples/embed/limits.js
+++ b/examples/embed/limits.js
@@ -19,13 +19,13 @@
 			holder.admitted += decision?.kind === 'admitted' ? 1 : 0;
 		}
 
-		const due = holder.admission.getDueReport(now);
+		const due = holder.admission.getDueReportKind(now);
 		if (due !== undefined) {
 			const report = holder.admission.createReport(holder.name, '1', due === 'partial', now);
 			holder.admission.applyGrant(allocator.createGrant(report, Number.POSITIVE_INFINITY, now), now, due === 'partial', now);
 		}
 
-		holder.admitted += holder.admission.advance(now).filter(({kind}) => kind === 'admitted').length;
+		holder.admitted += holder.admission.processWaiters(now).filter(({kind}) => kind === 'admitted').length;
 	}
 }
 
