--- a/packages/model/src/configuration/configuration-row.ts
+++ b/packages/model/src/configuration/configuration-row.ts
@@ -1,20 +1,20 @@
 import {Either, Left, Right} from 'purify-ts';
 import {z} from 'zod';
 
-/** Longest name of an account, group, endpoint or route, in characters. */
+/** Maximum length of the name of an account, group, endpoint or route, in characters. */
 export const maxNameLength = 100;
 
 const nameSchema = z.string().min(1).max(maxNameLength).regex(/^[^\s\/\p{C}][^\/\p{C}]*$/v, 'must not hold "/" or control characters');
 const addressSchema = z.string().regex(/^[\w.:\[\]\-]+:\d{1,5}$/v, 'must be host:port');
 
-/** Limits of a client account: requests a second, and the largest burst. */
+/** Limits of a client account: requests per second, the largest burst, and its weight in queues. */
 export const accountSchema = z.object({
 	rate: z.number().positive(),
 	burst: z.number().min(1),
 	weight: z.number().positive().default(1),
 });
 
-/** A key, stored under its SHA-256 hash. */
+/** An API key, stored under its SHA-256 hash. */
 export const keySchema = z.object({account: nameSchema, label: z.string().default('')});
 
 /** A database group and what its instances support. */
@@ -41,10 +41,10 @@
 	statement: z.string().min(1),
 });
 
-/** Key with which session tokens are signed, as hexadecimal digits. */
+/** Key that signs session tokens: 64 hexadecimal digits. */
 export const secretSchema = z.object({key: z.string().regex(/^[\da-f]{64}$/v)});
 
-/** A VM whose word counts towards a majority. */
+/** A VM that votes. */
 export const voterSchema = z.object({});
 
 const schemas = {
@@ -59,12 +59,19 @@
 
 /** Kinds of configuration rows. */
 export type RowKind = keyof typeof schemas;
+/** Limits of a client account. */
 export type AccountLimits = z.infer<typeof accountSchema>;
+/** An API key of a client account. */
 export type ApiKey = z.infer<typeof keySchema>;
+/** A database group. */
 export type DatabaseGroup = z.infer<typeof groupSchema>;
+/** An instance of a database group. */
 export type Endpoint = z.infer<typeof endpointSchema>;
+/** A named operation on a database group. */
 export type Route = z.infer<typeof routeSchema>;
+/** Key that signs session tokens. */
 export type Secret = z.infer<typeof secretSchema>;
+/** A VM that votes. */
 export type Voter = z.infer<typeof voterSchema>;
 
 /** The value type of each kind of row. */
@@ -78,10 +85,10 @@
 	voter: Voter;
 };
 
-/** A row as stored: "kind/name" and its value as JSON, absent when the row is removed. */
+/** A row as stored: the key "kind/name" and the value as JSON, absent when the row is removed. */
 export type StoredRow = {readonly key: string; readonly value?: string | undefined};
 
-/** A row whose key and value have been checked. */
+/** A validated row; its value is undefined when the row is removed. */
 export type ParsedRow = {[K in RowKind]: {readonly kind: K; readonly name: string; readonly value: RowValues[K] | undefined}}[RowKind];
 
 function parseValue(schema: z.ZodType, row: StoredRow): Either<string, unknown> {
@@ -94,9 +101,9 @@
 }
 
 /**
- * Checks a stored row.
+ * Parses and validates a stored row.
  * @param row - Row as stored.
- * @returns The checked row, or what is wrong with it.
+ * @returns The parsed row, or an error message that names its key.
  */
 export function parseRow(row: StoredRow): Either<string, ParsedRow> {
 	const slash = row.key.indexOf('/');
@@ -120,7 +127,7 @@
 	});
 }
 
-/** Writes a row in its stored form. */
+/** Formats a row as it is stored. */
 export function formatRow<K extends RowKind>(kind: K, rowName: string, value: RowValues[K] | undefined): StoredRow {
 	return {key: `${kind}/${rowName}`, value: value === undefined ? undefined : JSON.stringify(value)};
 }
--- a/packages/model/src/configuration/configuration.ts
+++ b/packages/model/src/configuration/configuration.ts
@@ -3,10 +3,10 @@
 	type AccountLimits, type Endpoint, type ParsedRow, parseRow, type Route, type RowKind, type RowValues, type StoredRow,
 } from './configuration-row.js';
 
-/** One accepted change of the configuration. */
+/** An accepted change of the configuration. */
 export type ConfigurationChange = {
 	readonly version: number;
-	/** Identity of the write, by which a lost answer is settled. */
+	/** Unique id of the write: after a lost response it tells whether this write took the version. */
 	readonly writeId: string;
 	readonly author: string;
 	readonly summary: string;
@@ -24,13 +24,13 @@
 	};
 }
 
-/** The configuration at one version; changes are applied in order and never taken back. */
+/** The configuration at one version; changes are applied in order and never reverted. */
 export class Configuration {
 	#version = 0;
 	#tables = createTables();
 	readonly #endpointsByGroup = new Map<string, NamedEndpoint[]>();
 
-	/** The number of the last change applied. */
+	/** Version of the last applied change. */
 	get version(): number {
 		return this.#version;
 	}
@@ -43,7 +43,7 @@
 		return this.#tables.route.get(name);
 	}
 
-	/** Returns the account that a key hash belongs to. */
+	/** Returns the account that owns the key with a hash. */
 	getAccountByKeyHash(hash: string): string | undefined {
 		return this.#tables.key.get(hash)?.account;
 	}
@@ -52,7 +52,7 @@
 		return this.#tables.secret.get(name)?.key;
 	}
 
-	/** Says whether a group records request ids with its writes. */
+	/** Whether a group records request ids with its writes. */
 	isRecordingRequestIds(name: string): boolean {
 		return this.#tables.group.get(name)?.recordsRequestIds ?? false;
 	}
@@ -65,7 +65,7 @@
 		return [...this.#tables.group.keys()];
 	}
 
-	/** Returns the names of the VMs whose word counts towards a majority. */
+	/** Returns the names of the VMs that vote. */
 	getVoterNames(): string[] {
 		return [...this.#tables.voter.keys()];
 	}
@@ -74,7 +74,7 @@
 		return [...this.#tables.account.keys()];
 	}
 
-	/** Returns the endpoints of a group, leaving ones included. */
+	/** Returns the endpoints of a group, including those that are leaving. */
 	getEndpoints(group: string): readonly NamedEndpoint[] {
 		return this.#endpointsByGroup.get(group) ?? [];
 	}
@@ -98,20 +98,20 @@
 	/**
 	 * Checks rows against the schema and against the rows they refer to.
 	 * @param rows - Rows of a change.
-	 * @returns The checked rows, or every error found.
+	 * @returns The parsed rows, or all errors found.
 	 */
 	checkRows(rows: readonly StoredRow[]): Either<string[], ParsedRow[]> {
 		const parsed = rows.map(row => parseRow(row));
 		const errors = Either.lefts(parsed);
-		const good = Either.rights(parsed);
-		errors.push(...this.#checkReferences(good));
-		return errors.length > 0 ? Left(errors) : Right(good);
+		const validRows = Either.rights(parsed);
+		errors.push(...this.#checkReferences(validRows));
+		return errors.length > 0 ? Left(errors) : Right(validRows);
 	}
 
 	/**
 	 * Applies the next change.
 	 * @param change - Change whose version follows the current one.
-	 * @returns The checked rows, or why the change was not applied.
+	 * @returns The parsed rows, or the reasons why the change was not applied.
 	 */
 	applyChange(change: ConfigurationChange): Either<string[], ParsedRow[]> {
 		if (change.version !== this.#version + 1) {
@@ -125,17 +125,17 @@
 	}
 
 	/**
-	 * Replaces everything by a later snapshot.
-	 * @param version - Version of the snapshot; an older or equal one is refused.
+	 * Replaces the whole configuration with a newer snapshot.
+	 * @param version - Version of the snapshot; rejected unless it is newer than the current version.
 	 * @param rows - All rows at that version.
 	 */
 	loadSnapshot(version: number, rows: readonly StoredRow[]): Either<string[], ParsedRow[]> {
 		if (version <= this.#version) {
-			return Left([`snapshot ${version} is not past version ${this.#version}`]);
+			return Left([`snapshot ${version} is not newer than version ${this.#version}`]);
 		}
 
-		const fresh = new Configuration();
-		return fresh.checkRows(rows).ifRight(parsed => {
+		const replacement = new Configuration();
+		return replacement.checkRows(rows).ifRight(parsed => {
 			this.#tables = createTables();
 			this.#storeRows(parsed);
 			this.#version = version;
--- a/packages/model/src/errors/error-kind.ts
+++ b/packages/model/src/errors/error-kind.ts
@@ -1,4 +1,4 @@
-/** The closed list of reasons for which a request is refused. */
+/** Reasons for which a request is refused; the list is closed. */
 export type ErrorKind =
 	| 'invalid-request'
 	| 'unauthenticated'
@@ -22,7 +22,7 @@
 	| 'store-unavailable'
 	| 'internal';
 
-/** Whether a refused request may have run. */
+/** Whether a refused request ran: `no` only if it provably did not. */
 export type ExecutionStatus = 'no' | 'unknown';
 
 /** Names of the Connect status codes that refusals use. */
@@ -39,12 +39,12 @@
 	| 'unknown'
 	| 'internal';
 
-/** What a caller is told for one kind of error. */
+/** Status and retry details that a caller gets for a kind of error. */
 export type RefusalDetails = {
 	readonly status: StatusName;
 	readonly ran: ExecutionStatus;
 	readonly retryable: boolean;
-	/** Time after which a retry is worth it, where the refusal gives none; milliseconds. */
+	/** Delay before a retry where the refusal gives none, milliseconds. */
 	readonly retryAfterMs: number;
 };
 
@@ -54,7 +54,7 @@
 	};
 }
 
-/** The answer for each kind of error. */
+/** Details of each kind of error. */
 export const refusalDetails: Readonly<Record<ErrorKind, RefusalDetails>> = {
 	'invalid-request': createDetails('invalid_argument', 'no'),
 	unauthenticated: createDetails('unauthenticated', 'no'),
@@ -79,7 +79,7 @@
 	internal: createDetails('internal', 'unknown'),
 };
 
-/** Says whether a string names a kind of error. */
+/** Whether a string is a kind of error. */
 export function isErrorKind(value: string): value is ErrorKind {
 	return Object.hasOwn(refusalDetails, value);
 }
--- a/packages/model/src/events/event-definition.ts
+++ b/packages/model/src/events/event-definition.ts
@@ -1,19 +1,19 @@
-/** Weight of an event: state changes are written first, then refusals, then a sample of successes. */
+/** Priority of an event in the log: state changes come first, then refusals, then a sample of successes. */
 export type EventImportance = 'state' | 'refusal' | 'success';
 
-/** Whom an event concerns: one request or session, the VM that logs it, or every VM. */
+/** What an event is about: one request or session, the VM that logs it, or every VM. */
 export type EventScope = 'request' | 'vm' | 'cluster';
 
-/** Types of the values that an event's field may hold: a question mark marks a field that may be absent, counts are numbers by name. */
+/** Type of an event field; a question mark marks an optional field, `counts` maps names to numbers. */
 export type EventFieldKind = 'string' | 'number' | 'boolean' | 'string?' | 'number?' | 'counts';
 
-/** What stands in the catalogue about one event. */
+/** Definition of an event in the catalogue. */
 export type EventDefinition = {
 	readonly importance: EventImportance;
 	readonly scope: EventScope;
-	/** Whether it may be the cause of how a request near it was answered. */
+	/** Whether the event can explain the outcome of a request at about the same time. */
 	readonly isPossibleCause: boolean;
-	/** One line on what it says, for whoever reads the log. */
+	/** One line on the meaning of the event, for operators who read the log. */
 	readonly description: string;
 	readonly fields: Readonly<Record<string, EventFieldKind>>;
 };
@@ -27,7 +27,7 @@
 	counts: Readonly<Record<string, number>>;
 };
 
-/** Values of the fields of an event. */
+/** Field values of an event. */
 export type EventFields<Structure extends EventDefinition> = {
 	readonly [Name in keyof Structure['fields']]: FieldTypes[Structure['fields'][Name]];
 };
--- a/packages/model/src/index.ts
+++ b/packages/model/src/index.ts
@@ -1,4 +1,4 @@
-/** The words of the domain as types: error kinds, configuration rows and log positions. */
+/** The domain model: error kinds, configuration rows, log positions, logged events and helpers for settings. */
 export * from './errors/index.js';
 export * from './configuration/index.js';
 export * from './positions/index.js';
--- a/packages/model/src/positions/log-position.ts
+++ b/packages/model/src/positions/log-position.ts
@@ -1,8 +1,8 @@
-/** A place in the log of a database group. */
+/** A position in the replication log of a database group. */
 export type LogPosition = {
 	/** Term of the primary that wrote the entry. */
 	readonly term: number;
-	/** Count of entries in the log up to and including this one. */
+	/** Number of log entries up to and including this one. */
 	readonly offset: number;
 };
 
@@ -19,7 +19,7 @@
 	return a.term === b.term ? a.offset - b.offset : a.term - b.term;
 }
 
-/** Says whether a position is at or past another. */
+/** Whether a position is at or after a required one. */
 export function isAtLeast(position: LogPosition, required: LogPosition): boolean {
 	return comparePositions(position, required) >= 0;
 }
--- a/packages/model/src/settings/find-setting-line.ts
+++ b/packages/model/src/settings/find-setting-line.ts
@@ -1,8 +1,8 @@
 /**
- * Finds where a key is set in a file of settings.
- * @param text - Contents of the file, TOML.
+ * Finds the line of a settings file that sets a key.
+ * @param text - Contents of the file, in TOML.
  * @param key - Last part of the key's path.
- * @returns The line counted from one, undefined when the key is not there.
+ * @returns The line number, from one; undefined when no line sets the key.
  */
 export function findSettingLine(text: string, key: string): number | undefined {
 	const index = text.split('\n').findIndex(line => line.trimStart().startsWith(key) && /^\s*[\w\-]+\s*=/v.test(line));
