--- a/packages/protocol/src/coordination/messages.ts
+++ b/packages/protocol/src/coordination/messages.ts
@@ -4,32 +4,32 @@
 
 const positionCodec = Codec.interface({term: number, offset: number});
 
-/** A primary's position, as old as the sender says. */
+/** Log position of a primary, and its age when it was sent. */
 const positionReportCodec = Codec.interface({position: positionCodec, ageMs: number});
 
-/** Evidence on a group's primary. */
+/** Observations of a group's primary by one VM. */
 const evidenceReportCodec = Codec.interface({
 	instanceId: string,
-	/** Time since the last answer, absent where there was none. */
+	/** Time since the last response, milliseconds; absent if there was none. */
 	answeredAgoMs: optional(number),
-	/** Time since which there were only failures, absent while all is well. */
+	/** Time for which every attempt has failed, milliseconds; absent while the primary responds. */
 	failingForMs: optional(number),
-	/** Whether the failures were refusals; absent where they were not. */
+	/** Whether the failures were refused connections; absent if they were not. */
 	isRefused: optional(boolean),
 });
 
-/** Who leads a group, as the store's row of that revision says. */
+/** Term and primary of a group, as in that revision of the store's row. */
 const groupTermCodec = Codec.interface({
 	group: string,
 	term: number,
 	primaryId: string,
 	phase: oneOf([exactly('open'), exactly('closing')]),
-	/** Time for which writes that are under way may still end when the term closes. */
+	/** Time for running writes to finish when the term closes, milliseconds. */
 	drainMs: number,
 	revision: number,
 });
 
-/** An instance as VMs know it. */
+/** An instance of a database group, as sent between VMs. */
 const instanceEntryCodec = Codec.interface({
 	id: string,
 	group: string,
@@ -41,7 +41,7 @@
 	bornMs: number,
 });
 
-/** What a VM tells the coordinator. */
+/** Regular status report of a VM to the coordinator. */
 export const heartbeatCodec = Codec.interface({
 	kind: exactly('heartbeat'),
 	vm: string,
@@ -49,77 +49,88 @@
 	sequence: number,
 	positions: record(string, positionReportCodec),
 	evidence: record(string, evidenceReportCodec),
-	/** Newest revision of each group's term that this VM acts by. */
+	/** Newest revision of each group's term that this VM has adopted. */
 	revisions: record(string, number),
 	configurationVersion: number,
-	/** Revision of the instances that this VM was last told, absent where it reads them itself. */
+	/** Revision of the instance list that this VM received last; absent if it reads the list from the store. */
 	instanceRevision: optional(string),
-	/** The newest report that was received, with the time since then: it bounds when this heartbeat was sent. */
+	/** Time stamp of the newest report received and the time since then: they bound when this heartbeat was sent. */
 	echo: optional(Codec.interface({stampMs: number, ageMs: number})),
 });
 
-/** What the coordinator answers, or pushes without a sequence when a term changes. */
+/** Response of the coordinator to a heartbeat; sent unrequested and without a sequence when a term changes. */
 export const coordinatorReportCodec = Codec.interface({
 	kind: exactly('report'),
 	sequence: optional(number),
-	/** Steady time of the coordinator, milliseconds. */
+	/** Monotonic time of the coordinator, milliseconds. */
 	stampMs: number,
 	/** Fencing token of the coordinator. */
 	token: number,
 	/** Version of the coordinator's row in the store. */
 	dutyRevision: number,
-	/** Absent where the VM's heartbeat shows that it knows them. */
+	/** Absent if the VM's heartbeat shows that it has them. */
 	terms: optional(array(groupTermCodec)),
-	/** Whether the VM has to follow the store's configuration itself. */
+	/** Whether the VM has to read the configuration from the store itself. */
 	isFollower: boolean,
-	/** Absent where the VM's heartbeat shows that it knows them. */
+	/** Absent if the VM's heartbeat shows that it has them. */
 	instances: optional(Codec.interface({revision: string, entries: array(instanceEntryCodec)})),
 	positions: record(string, positionReportCodec),
 	configurationVersion: number,
 	members: number,
 });
 
-/** Asks a VM for the configuration that it has. */
+/** Requests the configuration that a VM has. */
 export const configurationRequestCodec = Codec.interface({kind: exactly('configuration-request')});
 
-/** The configuration in the store's encoding. */
+/** Response with the configuration, in the store's encoding. */
 export const configurationReplyCodec = Codec.interface({kind: exactly('configuration-reply'), version: number, encoded: string});
 
-/** Tells a VM that it is not talking to the coordinator. */
+/** Tells a VM that its message did not reach the coordinator. */
 export const notCoordinatorCodec = Codec.interface({
 	kind: exactly('not-coordinator'),
-	/** Peer address of the coordinator as far as is known. */
+	/** Peer address of the coordinator, if it is known. */
 	coordinator: optional(string),
 });
 
-/** Asks for tokens: operations of accounts that callers wait for. */
+/** Requests rate limit tokens by account: `needed` for waiting operations, `extra` for those expected soon. */
 export const tokenRequestCodec = Codec.interface({
 	kind: exactly('token-request'), vm: string, sequence: number, wants: record(string, Codec.interface({needed: number, extra: number})),
 });
 
-/** Gives tokens. */
+/** Response with rate limit tokens by account, and the time until there are more. */
 export const tokenGrantCodec = Codec.interface({
 	kind: exactly('token-grant'), sequence: number, grants: record(string, Codec.interface({count: number, waitMs: number})),
 });
 
-/** Asks a VM whether it reaches the store, or tells it to coordinate from now on: the sender has stopped. */
+/** Asks a VM whether it reaches the store, or tells it to take over as coordinator because the sender has stopped coordinating. */
 export const handOverOfferCodec = Codec.interface({kind: exactly('offer'), step: oneOf([exactly('ask'), exactly('take-over')])});
 
-/** Says that the sender reaches the store and can coordinate. */
+/** Response to an offer: the sender reaches the store and can become the coordinator. */
 export const handOverAcceptanceCodec = Codec.interface({kind: exactly('acceptance'), vm: string, address: string});
 
 const messageCodec = oneOf([handOverOfferCodec, handOverAcceptanceCodec, heartbeatCodec, coordinatorReportCodec, tokenRequestCodec, tokenGrantCodec, configurationRequestCodec, configurationReplyCodec, notCoordinatorCodec]);
 
+/** Term and primary of a group. */
 export type GroupTermMessage = GetType<typeof groupTermCodec>;
+/** Observations of a group's primary. */
 export type EvidenceReport = GetType<typeof evidenceReportCodec>;
+/** Log position of a primary, and its age. */
 export type PositionReport = GetType<typeof positionReportCodec>;
+/** Request for rate limit tokens. */
 export type TokenRequest = GetType<typeof tokenRequestCodec>;
+/** Response to a request for rate limit tokens. */
 export type TokenGrantMessage = GetType<typeof tokenGrantCodec>;
+/** Requested tokens by account. */
 export type TokenDemands = TokenRequest['wants'];
+/** Granted tokens by account. */
 export type TokenGrants = TokenGrantMessage['grants'];
+/** Status report of a VM to the coordinator. */
 export type Heartbeat = GetType<typeof heartbeatCodec>;
+/** Response of the coordinator to a heartbeat. */
 export type CoordinatorReport = GetType<typeof coordinatorReportCodec>;
+/** Response with a configuration. */
 export type ConfigurationReply = GetType<typeof configurationReplyCodec>;
+/** Any message between VMs. */
 export type PeerMessage = GetType<typeof messageCodec>;
 
 const codecs: Readonly<Record<string, {decode: (input: unknown) => ReturnType<typeof messageCodec.decode>}>> = {
@@ -135,9 +146,9 @@
 };
 
 /**
- * Reads one message between VMs.
+ * Parses a message between VMs.
  * @param text - One line of JSON.
- * @returns The message, or what was wrong with it.
+ * @returns The message, or the reason why it is invalid.
  */
 export function parsePeerMessage(text: string): PeerMessage | {readonly kind: 'invalid'; readonly reason: string} {
 	try {
@@ -151,14 +162,14 @@
 	}
 }
 
-/** Steps in which times are sent, parts of a millisecond: far below every margin. */
+/** Resolution of times in messages, in steps per millisecond: far finer than every timing margin. */
 const roundingStepsPerMs = 10;
 
 function roundNumber(_key: string, value: unknown): unknown {
 	return typeof value === 'number' && !Number.isInteger(value) ? Math.round(value * roundingStepsPerMs) / roundingStepsPerMs : value;
 }
 
-/** Writes one message between VMs as a line. */
+/** Formats a message between VMs as one line of JSON. */
 export function formatPeerMessage(message: PeerMessage): string {
 	return `${JSON.stringify(message, roundNumber)}\n`;
 }
--- a/packages/protocol/src/index.ts
+++ b/packages/protocol/src/index.ts
@@ -1,4 +1,4 @@
-/** Messages and services of every protocol that chicorysaddle speaks. */
+/** Messages and services of every protocol of chicorysaddle. */
 export * from './generated/chicorysaddle/common/v1/common_pb.js';
 export * from './generated/chicorysaddle/caller/v1/caller_pb.js';
 export * from './generated/chicorysaddle/endpoint/v1/endpoint_pb.js';
