--- a/packages/store/src/client/http2-session-options.ts
+++ b/packages/store/src/client/http2-session-options.ts
@@ -1,8 +1,8 @@
 import {type SecureClientSessionOptions} from 'node:http2';
 
 /**
- * Returns options for connections that come from one IP number.
- * @param sourceAddress - IP number; any where absent.
+ * Creates options for HTTP/2 connections from a given source address.
+ * @param sourceAddress - IP address; undefined leaves the choice to the system.
  */
 export function createHttp2SessionOptions(sourceAddress: string | undefined): SecureClientSessionOptions | undefined {
 	if (sourceAddress === undefined) {
--- a/packages/store/src/client/platform-client.ts
+++ b/packages/store/src/client/platform-client.ts
@@ -10,16 +10,16 @@
 } from '../ports/index.js';
 import {createHttp2SessionOptions} from './http2-session-options.js';
 
-/** Where the platform is and how long to wait for it. */
+/** Address and timeout of the platform. */
 export type PlatformClientOptions = {
 	/** Address as host:port. */
 	readonly address: string;
 	readonly timeoutMs: number;
-	/** IP number that connections come from. */
+	/** Source IP address of connections. */
 	readonly sourceAddress?: string | undefined;
 };
 
-/** Counts of the operations sent to the platform. */
+/** Counts of operations sent to the platform, and of failures. */
 export type PlatformCounters = {
 	reads: number;
 	writes: number;
@@ -95,7 +95,7 @@
 		});
 	}
 
-	/** Ends the connection. */
+	/** Closes the connection. */
 	close(): void {
 		this.#sessions.abort();
 	}
--- a/packages/store/src/configuration/configuration-log.ts
+++ b/packages/store/src/configuration/configuration-log.ts
@@ -7,7 +7,7 @@
 import {type Table, type TableRow} from '../ports/table.js';
 
 const headKey = 'configuration/head';
-/** Versions between two snapshots. */
+/** Number of versions between snapshots. */
 export const snapshotInterval = 64;
 
 const rowSchema = z.object({key: z.string(), value: z.string().optional()});
@@ -18,10 +18,10 @@
 const referenceSchema = z.object({writeId: z.string()});
 const snapshotSchema = z.object({version: z.number(), rows: z.array(rowSchema)});
 
-/** The newest version in the store. */
+/** Head of the log: the newest version in the store. */
 export type ConfigurationHead = z.infer<typeof headSchema> & {readonly rowVersion: number};
 
-/** Every row at one version. */
+/** All rows of the configuration at one version. */
 export type ConfigurationSnapshot = {readonly version: number; readonly rows: readonly StoredRow[]};
 
 /** Outcome of writing a change. */
@@ -31,19 +31,19 @@
 	| {readonly kind: 'conflict'; readonly change: ConfigurationChange};
 
 /**
- * The changes of the configuration, in the platform's service.
- * Bodies go to the object store first; a compare-and-set of the head then takes the version.
+ * Log of configuration changes in the platform's table and object store.
+ * A write stores the bodies as objects and then takes the version by a compare-and-set of the head.
  */
 export class ConfigurationLog {
 	constructor(private readonly table: Table, private readonly objects: ObjectStore) {}
 
-	/** Reads the newest version. */
+	/** Reads the head of the log. */
 	async readHead(): Promise<Either<Refusal, ConfigurationHead>> {
 		const rows = await this.table.readRows([headKey]);
 		return rows.chain(([row]) => parseHeadRow(row));
 	}
 
-	/** Reads the change that made a version. */
+	/** Reads the change that produced a version. */
 	async readChange(version: number): Promise<Either<Refusal, ConfigurationChange>> {
 		const rows = await this.table.readRows([getChangeKey(version)]);
 		const reference = rows.chain(([row]) => parseJson(referenceSchema, row?.value ?? '', `change ${version}`));
@@ -56,17 +56,17 @@
 		return body.chain(text => parseJson(changeSchema, text, `change ${version}`)).map(change => ({...change, version}));
 	}
 
-	/** Reads the snapshot at a version named by the head. */
+	/** Reads the snapshot of a version that the head names. */
 	async readSnapshot(version: number): Promise<Either<Refusal, ConfigurationSnapshot>> {
 		const body = await this.#readObject(getSnapshotKey(version));
 		return body.chain(text => parseJson(snapshotSchema, text, `snapshot ${version}`));
 	}
 
 	/**
-	 * Writes the change that follows a version.
-	 * A lost answer is settled by reading back which write took the version.
-	 * @param change - Change whose version is one past the head's.
-	 * @param snapshot - Snapshot to name in the head, where one is due.
+	 * Writes the next change.
+	 * After a lost response the log is read to find out which write took the version.
+	 * @param change - Change with the version after the head's.
+	 * @param snapshot - Snapshot to name in the head, if one is due.
 	 */
 	async writeChange(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, ChangeWriteResult>> {
 		const put = await this.#writeBodies(change, snapshot);
@@ -92,7 +92,7 @@
 		return isApplied ? Right({kind: 'written'}) : this.#resolveWriteOutcome(change);
 	}
 
-	/** Finds out which write took a version. */
+	/** Reads which write took a version. */
 	async #resolveWriteOutcome(change: ConfigurationChange): Promise<Either<Refusal, ChangeWriteResult>> {
 		const head = await this.readHead();
 		if (head.isLeft()) {
@@ -104,7 +104,7 @@
 		}
 
 		const taken = await this.readChange(change.version);
-		return taken.map(other => (other.writeId === change.writeId ? {kind: 'written'} : {kind: 'conflict', change: other}));
+		return taken.map(committed => (committed.writeId === change.writeId ? {kind: 'written'} : {kind: 'conflict', change: committed}));
 	}
 
 	async #writeBodies(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, void>> {
@@ -142,10 +142,10 @@
 		: parseJson(headSchema, row.value, headKey).map(head => ({...head, rowVersion: row.version}));
 }
 
-function parseJson<T>(schema: z.ZodType<T>, text: string, what: string): Either<Refusal, T> {
+function parseJson<T>(schema: z.ZodType<T>, text: string, description: string): Either<Refusal, T> {
 	try {
 		return Right(schema.parse(JSON.parse(text)));
 	} catch {
-		return Left(refusals.storeUnavailable(`${what} cannot be read`));
+		return Left(refusals.storeUnavailable(`${description} cannot be read`));
 	}
 }
--- a/packages/store/src/ports/table.ts
+++ b/packages/store/src/ports/table.ts
@@ -8,7 +8,7 @@
 	readonly value: string;
 };
 
-/** A write that holds only while the row is at a version. */
+/** A write that applies only if the row is at the expected version. */
 export type ConditionalWrite = {
 	readonly key: string;
 	readonly expectedVersion: number;
@@ -18,13 +18,13 @@
 /** Outcome of a compare-and-set. */
 export type CompareAndSetResult = {
 	readonly applied: boolean;
-	/** Row whose version differed, empty when applied. */
+	/** Key of a row with another version, empty if the writes were applied. */
 	readonly conflictingKey: string;
 };
 
 /** The platform's transactional table. */
 export type Table = {
 	readRows(keys: readonly string[]): Promise<Either<Refusal, TableRow[]>>;
-	/** Applies all writes or none; when the answer is lost the outcome is unknown. */
+	/** Applies all writes or none; after a lost response the outcome is unknown. */
 	compareAndSet(writes: readonly ConditionalWrite[]): Promise<Either<Refusal, CompareAndSetResult>>;
 };
--- a/packages/store/src/ports/vm-list.ts
+++ b/packages/store/src/ports/vm-list.ts
@@ -1,7 +1,7 @@
 import {type Either} from 'purify-ts';
 import {type Refusal} from '@chicorysaddle/model';
 
-/** A VM as the platform lists it, which may lag. */
+/** A VM as the platform lists it; the list can be out of date. */
 export type ListedVm = {
 	readonly name: string;
 	/** Address of its peer port. */
