--- a/packages/decisions/src/freshness/freshness-tracker.ts
+++ b/packages/decisions/src/freshness/freshness-tracker.ts
@@ -1,9 +1,9 @@
 import {getMajority} from '../leases/lease-candidate.js';
 
 /**
- * Knows how old this proxy's view of the configuration may be.
- * A view is as young as the newest word from the store, heard directly or through a peer,
- * or as the word of a majority of the voters, each of which knows every accepted change.
+ * Tracks an upper bound of the age of this proxy's view of the configuration.
+ * A view is as fresh as its last sync with the store, directly or through a peer,
+ * or as its last sync with a majority of the voters, each of which knows every accepted change.
  */
 export class FreshnessTracker {
 	#storeSyncedAt = Number.NEGATIVE_INFINITY;
@@ -12,8 +12,8 @@
 
 	/**
 	 * @param name - Name of this VM.
-	 * @param maxAgeMs - Longest age of a view that may be used.
-	 * @param startedAt - Time at which this process started.
+	 * @param maxAgeMs - Maximum age of a view that may be used.
+	 * @param startedAt - Start time of this process.
 	 */
 	constructor(private readonly name: string, private readonly maxAgeMs: number, private readonly startedAt: number) {}
 
@@ -22,19 +22,19 @@
 		return this.#isSynchronized;
 	}
 
-	/** Returns the age of the newest word from the store, undefined where none was heard. */
+	/** Returns the time since the last sync with the store, undefined before the first one. */
 	getStoreSyncAgeMs(now: number): number | undefined {
 		return Number.isFinite(this.#storeSyncedAt) ? now - this.#storeSyncedAt : undefined;
 	}
 
-	/** Takes in that the view held everything in the store at a time. */
+	/** Records that the view contained everything that the store held at a time. */
 	observeStoreSync(at: number): void {
 		this.#storeSyncedAt = Math.max(this.#storeSyncedAt, at);
-		// A former process of this VM may have vouched for changes up to the start of this one.
+		// An earlier process of this VM may have confirmed changes until this one started.
 		this.#isSynchronized ||= at >= this.startedAt;
 	}
 
-	/** Takes in that the view held, at a time, everything that a synchronized peer knew. */
+	/** Records that the view contained everything that a synchronized peer knew at a time. */
 	observePeerSync(peer: string, at: number, voters: readonly string[]): void {
 		this.#peerSyncTimes.set(peer, Math.max(this.#peerSyncTimes.get(peer) ?? Number.NEGATIVE_INFINITY, at));
 		if (!this.#isSynchronized && this.#getMajoritySyncedAt(voters, at) >= at - this.maxAgeMs) {
@@ -42,17 +42,17 @@
 		}
 	}
 
-	/** Forgets a peer that restarted: its new process has to be heard anew. */
+	/** Removes a peer that restarted: its new process has to be synced with again. */
 	removePeer(peer: string): void {
 		this.#peerSyncTimes.delete(peer);
 	}
 
-	/** Returns the age of the view, infinite where nothing vouches for it. */
+	/** Returns the age of the view, infinite before the first sync. */
 	getAgeMs(voters: readonly string[], now: number): number {
 		return now - Math.max(this.#storeSyncedAt, this.#getMajoritySyncedAt(voters, now));
 	}
 
-	/** Says whether the view may be used. */
+	/** Whether the view is fresh enough to be used. */
 	isFresh(voters: readonly string[], now: number): boolean {
 		return this.getAgeMs(voters, now) <= this.maxAgeMs;
 	}
--- a/packages/decisions/src/freshness/position-history.ts
+++ b/packages/decisions/src/freshness/position-history.ts
@@ -6,20 +6,20 @@
 	readonly position: LogPosition;
 };
 
-/** Samples closer together than this tell readers nothing more, milliseconds. */
+/** Minimum distance of the samples that are kept, milliseconds: denser ones do not help readers. */
 const minSampleSpacingMs = 20;
 
-/** Remembers where a group's primary was, so that a read can name the oldest log that is fresh enough. */
+/** Recent log positions of a group's primary, from which a read gets the lowest position that is fresh enough. */
 export class PositionHistory {
 	#samples: PositionSample[] = [];
 
-	/** @param retentionMs - Largest staleness that any reader accepts. */
+	/** @param retentionMs - Largest staleness that a reader accepts, milliseconds. */
 	constructor(private readonly retentionMs: number) {}
 
 	/**
-	 * Takes in a position from an answer of the primary.
+	 * Adds a position from a response of the primary.
 	 * @param sample - Position, with the time at which its request was sent.
-	 * @param now - Steady time in milliseconds.
+	 * @param now - Monotonic time in milliseconds.
 	 */
 	addSample(sample: PositionSample, now: number): void {
 		const last = this.#samples.at(-1);
@@ -27,7 +27,7 @@
 			return;
 		}
 
-		// The newest sample is always kept; those before it stand apart.
+		// The newest sample is always kept; the others keep the minimum distance.
 		const beforeLast = this.#samples.at(-2);
 		if (last !== undefined && beforeLast !== undefined && last.observedAt < beforeLast.observedAt + minSampleSpacingMs) {
 			this.#samples.pop();
@@ -42,7 +42,7 @@
 
 	/**
 	 * Returns the lowest position that covers every commit acknowledged before a time.
-	 * @param time - Steady time in milliseconds.
+	 * @param time - Monotonic time in milliseconds.
 	 */
 	getPositionCovering(time: number): LogPosition | undefined {
 		return this.#samples.find(sample => sample.observedAt >= time)?.position;
@@ -52,7 +52,7 @@
 		return this.#samples.at(-1);
 	}
 
-	/** Forgets everything: a position of an earlier term may have been rolled back. */
+	/** Removes all samples: positions of an earlier term may have been rolled back. */
 	clear(): void {
 		this.#samples = [];
 	}
--- a/packages/decisions/src/index.ts
+++ b/packages/decisions/src/index.ts
@@ -1,4 +1,4 @@
-/** The decisions of the proxy, free of I/O, clocks and randomness: time in, commands out. */
+/** Decision logic of the proxy without I/O, clocks or randomness: callers pass in the time and carry out the decisions. */
 export * from './sessions/index.js';
 export * from './routing/index.js';
 export * from './limits/index.js';
--- a/packages/decisions/src/promotion/failure-detector.ts
+++ b/packages/decisions/src/promotion/failure-detector.ts
@@ -1,30 +1,31 @@
 import {type GroupState} from '../routing/group-state.js';
 import {getMajority} from '../leases/lease-candidate.js';
 
-/** What another VM says of a group's primary. */
+/** Report of another VM on a group's primary. */
 export type FailureReport = {
 	readonly vm: string;
-	/** Term that the word is about. */
+	/** Term that the report is about. */
 	readonly term: number;
-	/** How long the sender has seen evidence of failure; zero for none. */
+	/** Time for which the sender has seen failures, milliseconds; zero for none. */
 	readonly failingMs: number;
-	/** Time at which the word was asked for. */
+	/** Time at which the report was requested. */
 	readonly requestedAt: number;
 };
 
-/** Timing of failure detection. */
+/** Options of failure detection. */
 export type FailureDetectorOptions = {
-	/** Time for which a VM has to see evidence of failure. */
+	/** Time for which a VM has to see failures. */
 	readonly suspicionMs: number;
-	/** Longest age of another VM's word. */
+	/** Maximum age of another VM's report. */
 	readonly maxReportAgeMs: number;
-	/** Least time between two promotions that one VM starts in a group. */
+	/** Minimum time between two promotions that one VM starts in a group. */
 	readonly minPromotionIntervalMs: number;
 };
 
+/** Default options of failure detection. */
 export const defaultFailureDetectorOptions: FailureDetectorOptions = {suspicionMs: 800, maxReportAgeMs: 1500, minPromotionIntervalMs: 2000};
 
-/** Judges the primary of one group, by time and by the word of a majority. */
+/** Detects the failure of the primary of one group, from the duration of failures and the reports of a majority. */
 export class FailureDetector {
 	#failingSince: number | undefined;
 	#evaluatedTerm = 0;
@@ -33,7 +34,7 @@
 
 	constructor(private readonly group: GroupState, private readonly options: FailureDetectorOptions = defaultFailureDetectorOptions) {}
 
-	/** Re-evaluates the evidence of this VM. */
+	/** Evaluates the current observations of this VM. */
 	observe(now: number): void {
 		if (this.group.term !== this.#evaluatedTerm) {
 			this.#evaluatedTerm = this.group.term;
@@ -44,24 +45,24 @@
 		this.#failingSince = since === undefined ? undefined : Math.min(since, this.#failingSince ?? since);
 	}
 
-	/** Returns how long this VM has seen evidence of failure; zero for none. */
+	/** Returns the time for which this VM has seen failures, milliseconds; zero for none. */
 	getFailingMs(now: number): number {
 		return this.#failingSince === undefined ? 0 : Math.max(1, now - this.#failingSince);
 	}
 
-	observeReport(word: FailureReport): void {
-		this.#reports.set(word.vm, word);
+	observeReport(report: FailureReport): void {
+		this.#reports.set(report.vm, report);
 	}
 
-	/** Says whether this VM alone has seen enough to ask the others at once. */
+	/** Whether this VM has seen failures for long enough to request the reports of the others at once. */
 	isPrimarySuspected(now: number): boolean {
 		return this.getFailingMs(now) >= this.options.suspicionMs / 2;
 	}
 
 	/**
-	 * Says whether a promotion is due.
+	 * Whether a promotion is due.
 	 * @param name - Name of this VM.
-	 * @param voters - VMs whose word counts.
+	 * @param voters - Names of the VMs that vote.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	isPromotionDue(name: string, voters: readonly string[], now: number): boolean {
@@ -77,14 +78,14 @@
 		this.#lastPromotionAt = now;
 	}
 
-	#isAgreeing(word: FailureReport | undefined, now: number): boolean {
-		return word?.term === this.group.term
-			&& word.failingMs + (now - word.requestedAt) >= this.options.suspicionMs
-			&& word.failingMs > 0
-			&& now - word.requestedAt <= this.options.maxReportAgeMs;
+	#isAgreeing(report: FailureReport | undefined, now: number): boolean {
+		return report?.term === this.group.term
+			&& report.failingMs + (now - report.requestedAt) >= this.options.suspicionMs
+			&& report.failingMs > 0
+			&& now - report.requestedAt <= this.options.maxReportAgeMs;
 	}
 
-	/** Returns since when the primary is unknown or out of reach, or lost to its replicas; undefined where it is not. */
+	/** Returns the time since which the primary is unknown, unreachable or silent towards its replicas; undefined if it is none of these. */
 	#findFailureStart(now: number): number | undefined {
 		const {primary} = this.group;
 		if (primary === undefined) {
@@ -94,7 +95,7 @@
 		return primary.unreachableSince ?? this.#findSilenceStart(now);
 	}
 
-	/** Replicas that have not heard their primary speak for themselves, where a majority of the group does so. */
+	/** Returns the time since which the replicas have not heard from the primary, if those that this VM reaches are a majority of the group. */
 	#findSilenceStart(now: number): number | undefined {
 		const replicas = this.group.replicas.filter(replica => replica.isReachable);
 		const silentMs = Math.min(...replicas.map(replica => replica.primarySilentMs));
--- a/packages/decisions/src/promotion/primary-liveness.ts
+++ b/packages/decisions/src/promotion/primary-liveness.ts
@@ -1,33 +1,33 @@
-/** What one VM last saw of a group's primary. */
+/** Latest observations of a group's primary by one VM. */
 export type PrimaryEvidence = {
 	readonly vm: string;
 	/** Instance that the evidence is about. */
 	readonly instanceId: string;
-	/** Time of the last answer, if there was any. */
+	/** Time of the last response, if there was any. */
 	readonly answeredAt: number | undefined;
-	/** Time since which nothing but failures was seen, undefined while all is well. */
+	/** Time since which every attempt has failed, undefined while the primary responds. */
 	readonly failingSince: number | undefined;
-	/** Whether the failures were refusals by the machine itself. */
+	/** Whether the failures were connections that the host of the primary refused. */
 	readonly isRefused: boolean;
 };
 
-/** Timing of the judgement. */
+/** Timeouts after which a primary counts as dead. */
 export type PrimaryTimeouts = {
-	/** Time of refusals after which a primary counts as dead, milliseconds. */
+	/** Time of refused connections after which a primary counts as dead, milliseconds. */
 	readonly refusalTimeoutMs: number;
-	/** Time of silence after which a primary counts as dead, milliseconds. */
+	/** Time without a response after which a primary counts as dead, milliseconds. */
 	readonly silenceTimeoutMs: number;
 };
 
-/** A refusal proves that the process is gone; silence has to outlast a slow answer. */
+/** A refused connection proves that the process is gone; silence has to last longer than a slow response. */
 export const defaultPrimaryTimeouts: PrimaryTimeouts = {refusalTimeoutMs: 150, silenceTimeoutMs: 900};
 
 /**
- * Says whether a primary is dead by the evidence of several VMs.
- * Any VM that still gets answers speaks for its life; one VM alone is believed only when no other can be heard.
- * @param instanceId - Primary that is judged.
- * @param evidence - Newest evidence of each VM, the judge's own included.
- * @param members - VMs that could have evidence.
+ * Whether a primary is dead according to the evidence of several VMs.
+ * It is alive as long as one VM gets responses. Two VMs have to agree that it is dead, unless there is only one.
+ * @param instanceId - Primary to check.
+ * @param evidence - Newest evidence of each VM, including this one.
+ * @param members - Number of VMs that could have evidence.
  */
 export function isPrimaryDead(instanceId: string, evidence: readonly PrimaryEvidence[], members: number, now: number, timeouts: PrimaryTimeouts = defaultPrimaryTimeouts): boolean {
 	const relevant = evidence.filter(item => item.instanceId === instanceId);
--- a/packages/decisions/src/promotion/promotion-round.ts
+++ b/packages/decisions/src/promotion/promotion-round.ts
@@ -1,7 +1,7 @@
 import {comparePositions, type LogPosition} from '@chicorysaddle/model';
 import {getMajority} from '../leases/lease-candidate.js';
 
-/** Answer of an instance that was told a new term. */
+/** Response of an instance that was asked to accept a new term. */
 export type FenceAnswer = {
 	readonly instance: string;
 	readonly accepted: boolean;
@@ -10,7 +10,7 @@
 	readonly position: LogPosition;
 };
 
-/** What a promoter does next. */
+/** Next action of a promoter. */
 export type PromotionCommand =
 	| {readonly kind: 'wait'}
 	| {readonly kind: 'promote'; readonly instance: string; readonly term: number}
@@ -18,10 +18,10 @@
 	| {readonly kind: 'give-up'; readonly seenTerm: number};
 
 /**
- * One attempt to give a group a new primary.
- * A majority of the instances has to refuse every older term first. A write is acknowledged only when
- * two instances hold it, so any majority of three that has accepted the term holds all acknowledged writes: its most
- * advanced instance has them.
+ * One attempt to promote a new primary in a group.
+ * First a majority of the instances has to refuse every older term. A write is acknowledged only when two
+ * instances hold it, so among three instances any majority that has accepted the term holds all acknowledged writes,
+ * and its most advanced instance has all of them.
  */
 export class PromotionRound {
 	readonly #accepted: FenceAnswer[] = [];
@@ -29,14 +29,14 @@
 	#majorityAt: number | undefined;
 
 	/**
-	 * @param term - Term to take.
+	 * @param term - Term of the new primary.
 	 * @param instances - Every instance of the group.
-	 * @param graceMs - Time that late answers are waited for once a majority has accepted.
-	 * @param failingPrimary - Instance that is being replaced; it leads again only where no majority is left without it.
+	 * @param graceMs - Time to wait for late responses after a majority has accepted, milliseconds.
+	 * @param failingPrimary - Instance to replace; it is promoted again only if there is no majority without it.
 	 */
 	constructor(readonly term: number, private readonly instances: readonly string[], private readonly graceMs: number, private readonly failingPrimary?: string) {}
 
-	/** Takes in an answer. */
+	/** Handles the response of an instance. */
 	observeAnswer(answer: FenceAnswer, now: number): PromotionCommand {
 		if (this.#isOver) {
 			return {kind: 'wait'};
@@ -54,7 +54,7 @@
 		return this.advance(now);
 	}
 
-	/** Decides once a majority has accepted and late answers have had their time. */
+	/** Chooses the new primary once a majority has accepted and the wait for late responses has ended. */
 	advance(now: number): PromotionCommand {
 		if (this.#isOver || this.#accepted.length < getMajority(this.instances.length)) {
 			return {kind: 'wait'};
--- a/packages/decisions/src/tests/freshness/freshness-tracker.test.ts
+++ b/packages/decisions/src/tests/freshness/freshness-tracker.test.ts
@@ -3,7 +3,7 @@
 
 const voters = ['v1', 'v2', 'v3', 'v4', 'v5'];
 
-test('a view is as young as the newest word from the store, heard directly or through a peer', t => {
+test('a view is as fresh as its last sync with the store', t => {
 	const freshness = new FreshnessTracker('v1', 2500, 0);
 	t.false(freshness.isFresh(voters, 100));
 	freshness.observeStoreSync(1000);
@@ -12,29 +12,29 @@
 	t.false(freshness.isFresh(voters, 3501));
 });
 
-test('without the store, the word of a majority of synchronized voters counts, and of fewer does not', t => {
+test('without the store, a sync with a majority of the voters keeps a view fresh, and one with fewer does not', t => {
 	const freshness = new FreshnessTracker('v1', 2500, 0);
 	freshness.observeStoreSync(0);
 	freshness.observePeerSync('v2', 5000, voters);
 	t.false(freshness.isFresh(voters, 5000), 'two of five');
 	freshness.observePeerSync('v3', 4000, voters);
-	t.is(freshness.getAgeMs(voters, 6000), 2000, 'as old as the third youngest of five');
+	t.is(freshness.getAgeMs(voters, 6000), 2000, 'as old as the third newest sync of five');
 	freshness.observePeerSync('stranger', 9000, voters);
-	t.false(freshness.isFresh(voters, 7000), 'a VM that is no voter does not count');
+	t.false(freshness.isFresh(voters, 7000), 'a VM that does not vote does not count');
 	freshness.observePeerSync('v2', 7000, voters);
 	freshness.observePeerSync('v3', 7000, voters);
 	t.true(freshness.isFresh(voters, 7000));
 	freshness.removePeer('v3');
-	t.false(freshness.isFresh(voters, 7000), 'a peer that restarted has to be heard anew');
+	t.false(freshness.isFresh(voters, 7000), 'a peer that restarted has to be synced with again');
 });
 
-test('a process that has just started vouches for nothing before it knows every change accepted until then', t => {
+test('a process is not synchronized before it knows every change accepted up to its start', t => {
 	const freshness = new FreshnessTracker('v1', 2500, 1000);
 	freshness.observeStoreSync(900);
-	t.false(freshness.isSynchronized, 'its former process may have vouched for a change after that word');
+	t.false(freshness.isSynchronized, 'an earlier process of the VM may have confirmed a change after that sync');
 	freshness.observePeerSync('v2', 1100, voters);
 	freshness.observePeerSync('v3', 1100, voters);
-	t.false(freshness.isSynchronized, 'itself does not count towards the majority');
+	t.false(freshness.isSynchronized, 'the VM itself does not count towards the majority');
 	freshness.observePeerSync('v4', 1100, voters);
 	t.true(freshness.isSynchronized);
 });
--- a/packages/decisions/src/tests/promotion/failure-detector.test.ts
+++ b/packages/decisions/src/tests/promotion/failure-detector.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {FailureDetector, GroupState} from '../../index.js';
 
-const watchers = ['v1', 'v2', 'v3'];
+const voters = ['v1', 'v2', 'v3'];
 
 function createGroup(): GroupState {
 	const group = new GroupState('g');
@@ -21,25 +21,25 @@
 	};
 }
 
-test('one VM never promotes on its own word, however long it misses the primary', t => {
+test('one VM alone never starts a promotion, however long it cannot reach the primary', t => {
 	const group = createGroup();
 	const detector = new FailureDetector(group);
 	group.getInstance('a')!.observeUnreachable(1000);
 	detector.observe(60_000);
-	t.false(detector.isPromotionDue('v1', watchers, 60_000));
+	t.false(detector.isPromotionDue('v1', voters, 60_000));
 	detector.observeReport(createReport('v2', 0, 59_900));
-	t.false(detector.isPromotionDue('v1', watchers, 60_000), 'the other one reaches it');
+	t.false(detector.isPromotionDue('v1', voters, 60_000), 'the other VM reaches the primary');
 	detector.observeReport(createReport('v2', 700, 59_900, 0));
-	t.false(detector.isPromotionDue('v1', watchers, 60_000), 'a word about another term');
+	t.false(detector.isPromotionDue('v1', voters, 60_000), 'a report about another term');
 	detector.observeReport(createReport('v2', 900, 50_000));
-	t.false(detector.isPromotionDue('v1', watchers, 60_000), 'a word that is too old');
+	t.false(detector.isPromotionDue('v1', voters, 60_000), 'a report that is too old');
 	detector.observeReport(createReport('v2', 900, 59_900));
-	t.true(detector.isPromotionDue('v1', watchers, 60_000));
+	t.true(detector.isPromotionDue('v1', voters, 60_000));
 	detector.observePromotionStarted(60_000);
-	t.false(detector.isPromotionDue('v1', watchers, 61_000), 'flapping is damped');
+	t.false(detector.isPromotionDue('v1', voters, 61_000), 'no second promotion within the minimum interval');
 });
 
-test('a primary that answers but that its replicas have lost is failing', t => {
+test('a primary that responds to a VM but is silent towards its replicas is failing', t => {
 	const group = createGroup();
 	const detector = new FailureDetector(group);
 	for (const name of ['b', 'c']) {
@@ -53,7 +53,7 @@
 	group.getInstance('c')!.observeReport({
 		term: 1, promoter: 'initial', primary: false, position: {term: 1, offset: 1}, stalenessMs: 5, primarySilentMs: 5,
 	}, 2100);
-	const anew = new FailureDetector(group);
-	anew.observe(2100);
-	t.is(anew.getFailingMs(2100), 0, 'one replica still hears it');
+	const laterDetector = new FailureDetector(group);
+	laterDetector.observe(2100);
+	t.is(laterDetector.getFailingMs(2100), 0, 'one replica still hears from it');
 });
--- a/packages/decisions/src/tests/promotion/promotion-round.test.ts
+++ b/packages/decisions/src/tests/promotion/promotion-round.test.ts
@@ -14,7 +14,7 @@
 
 const names = ['a', 'b', 'c'];
 
-/** A group of three that keeps what a database group is asked for. */
+/** Model of a database group of three instances that meets the requirements on such groups. */
 class ModelGroup {
 	readonly instances: Instance[] = names.map((name, index) => ({
 		name, term: 1, promoter: 'initial', isPrimary: index === 0, log: [],
@@ -33,7 +33,7 @@
 		}
 	}
 
-	/** A replica copies the log of the primary of its term, and the writes that it then holds count as confirmed. */
+	/** A replica copies the log of the primary of its term; the writes that it holds then count as acknowledged. */
 	replicate(to: number): void {
 		const replica = this.instances[to]!;
 		const primary = this.instances.find(instance => instance.isPrimary && instance.term === replica.term && instance !== replica);
@@ -42,7 +42,7 @@
 		}
 
 		replica.log = [...primary.log];
-		// Counting copies of older terms is not enough: an instance with a later term could still win over both.
+		// Copies of entries of older terms are not enough: an instance with entries of a later term could still be chosen over both.
 		if (replica.log.at(-1)?.position.term !== replica.term) {
 			return;
 		}
@@ -67,13 +67,13 @@
 			const command = round.observeAnswer({
 				instance: instance.name, accepted, term: instance.term, position: instance.log.at(-1)?.position ?? {term: 0, offset: 0},
 			}, 0);
-			this.#obey(command, isPromoteLost);
+			this.#execute(command, isPromoteLost);
 		}
 
-		this.#obey(round.advance(Number.POSITIVE_INFINITY), isPromoteLost);
+		this.#execute(round.advance(Number.POSITIVE_INFINITY), isPromoteLost);
 	}
 
-	#obey(command: PromotionCommand, isPromoteLost: boolean): void {
+	#execute(command: PromotionCommand, isPromoteLost: boolean): void {
 		if (command.kind === 'promote' && !isPromoteLost) {
 			const instance = this.instances.find(({name}) => name === command.instance)!;
 			instance.isPrimary = instance.term === command.term;
@@ -101,17 +101,17 @@
 	}),
 );
 
-test('no acknowledged write is missing from a primary of a later term, whatever is lost', t => {
+test('a primary of a later term has every acknowledged write, whichever messages are lost', t => {
 	let promotions = 0;
 	fc.assert(fc.property(fc.array(step, {minLength: 10, maxLength: 60}), steps => {
 		const group = new ModelGroup();
-		for (const one of steps) {
-			if (one.kind === 'write') {
-				group.write(one.at);
-			} else if (one.kind === 'replicate') {
-				group.replicate(one.to);
+		for (const action of steps) {
+			if (action.kind === 'write') {
+				group.write(action.at);
+			} else if (action.kind === 'replicate') {
+				group.replicate(action.to);
 			} else {
-				group.promote(one.by, one.reached, one.isPromoteLost);
+				group.promote(action.by, action.reached, action.isPromoteLost);
 			}
 
 			const newest = group.instances.filter(instance => instance.isPrimary).toSorted((a, b) => b.term - a.term)[0];
@@ -119,7 +119,7 @@
 			const held = new Set(newest?.log.map(({id}) => id));
 			t.true(newest === undefined || newest.term < group.acknowledgedTerm || [...group.acknowledged].every(id => held.has(id)));
 			const terms = group.instances.filter(instance => instance.isPrimary).map(instance => instance.term);
-			t.is(new Set(terms).size, terms.length, 'one primary a term');
+			t.is(new Set(terms).size, terms.length, 'one primary per term');
 		}
 	}), {seed: 5, numRuns: 500});
 	t.true(promotions > 500);
@@ -127,14 +127,14 @@
 
 const position = (offset: number) => ({term: 1, offset});
 
-test('a promoter that meets a later term gives up', t => {
+test('a promoter that learns of a later term gives up', t => {
 	const round = new PromotionRound(2, names, 50);
 	t.deepEqual(round.observeAnswer({
 		instance: 'a', accepted: false, term: 4, position: position(1),
 	}, 0), {kind: 'give-up', seenTerm: 4});
 });
 
-test('the failing primary leads again only where no majority is left without it', t => {
+test('the failing primary is promoted again only if there is no majority without it', t => {
 	const all = new PromotionRound(2, names, 50, 'a');
 	all.observeAnswer({
 		instance: 'a', accepted: true, term: 2, position: position(9),
