--- a/packages/decisions/src/queueing/fair-queue.ts
+++ b/packages/decisions/src/queueing/fair-queue.ts
@@ -11,7 +11,7 @@
 	readonly value: T;
 };
 
-/** Names of the ways to order waiting requests. */
+/** Policies for ordering waiting requests. */
 export type QueuePolicy = 'fair' | 'first-come';
 
 type AccountQueue<T> = {virtualFinish: number; entries: Array<QueueEntry<T>>};
@@ -44,7 +44,7 @@
 		return this.#size;
 	}
 
-	/** Returns how many requests of an account wait. */
+	/** Returns the number of waiting requests of an account. */
 	getAccountSize(account: string): number {
 		let size = 0;
 		for (const priority of priorities) {
@@ -69,7 +69,7 @@
 
 	/**
 	 * Removes and returns the next request that can be placed.
-	 * @param canPlace - Whether a request could be sent on now.
+	 * @param canPlace - Whether a request could be sent to an instance now.
 	 */
 	removeNext(canPlace: (entry: QueueEntry<T>) => boolean): QueueEntry<T> | undefined {
 		const classes = priorities.map(priority => this.#classes[priority])
@@ -134,7 +134,7 @@
 	}
 
 	#removeIfEmpty(priorityClass: PriorityClass<T>, name: string, queue: AccountQueue<T>): void {
-		// An idle account keeps its place only while it is ahead of the others.
+		// An idle account is kept only while its virtual finish time is ahead of the virtual time of the class.
 		if (queue.entries.length === 0 && queue.virtualFinish <= priorityClass.virtualTime) {
 			priorityClass.accounts.delete(name);
 		}
@@ -150,7 +150,7 @@
 		return true;
 	}
 
-	/** A class that was idle does not catch up on what it did not use. */
+	/** Returns the count of served requests at which an idle class resumes: it gets no credit for service that it did not use. */
 	#getLeastServed(own: number): number {
 		const served = priorities.map(priority => this.#classes[priority]).filter(other => !this.#isEmptyClass(other)).map(other => other.served);
 		return served.length === 0 ? own : Math.max(own, Math.min(...served));
--- a/packages/decisions/src/queueing/wait-estimator.ts
+++ b/packages/decisions/src/queueing/wait-estimator.ts
@@ -1,33 +1,33 @@
-/** Weight of the newest gap in the average. */
+/** Weight of the newest interval in the moving average. */
 const smoothingFactor = 0.1;
 
-/** Longest gap that is taken as one of a queue that moves, milliseconds: a longer one is an outage, which says nothing of the pace. */
+/** Longest interval that enters the average, milliseconds: a longer one is an outage, which says nothing about the service rate. */
 const maxIntervalMs = 1000;
 
 /**
- * Estimates how long a request will wait from the pace at which a queue moves. Answers a load beyond capacity: with a queue
- * that holds whatever comes, whoever is not served learns it at the deadline; by the estimate, on arrival, and those who are served wait less.
+ * Estimates how long a request will wait, from the rate at which requests leave a queue. Under a load beyond capacity
+ * an unbounded queue refuses requests only at their deadline; by the estimate they are refused on arrival, and those that are served wait less.
  */
 export class WaitEstimator {
 	#meanIntervalMs = 0;
 	#lastPlacedAt: number | undefined;
 
 	/**
-	 * Takes in that a waiting request was placed.
-	 * @param remaining - Requests that still wait.
+	 * Records that a waiting request was placed.
+	 * @param remaining - Number of requests that still wait.
 	 */
 	observePlaced(remaining: number, now: number): void {
 		if (this.#lastPlacedAt !== undefined && now - this.#lastPlacedAt <= maxIntervalMs) {
 			this.#meanIntervalMs += smoothingFactor * (now - this.#lastPlacedAt - this.#meanIntervalMs);
 		}
 
-		// Without anyone waiting the next gap is the callers' and not the queue's.
+		// After the queue is empty, the next interval depends on arrivals and not on the service rate.
 		this.#lastPlacedAt = remaining > 0 ? now : undefined;
 	}
 
 	/**
-	 * Estimates the wait behind others, milliseconds.
-	 * @param ahead - Requests that will be placed before.
+	 * Estimates the wait of a request, milliseconds.
+	 * @param ahead - Number of requests that will be placed before it.
 	 */
 	estimateWaitMs(ahead: number): number {
 		return (ahead + 1) * this.#meanIntervalMs;
--- a/packages/decisions/src/retries/retry-budget.ts
+++ b/packages/decisions/src/retries/retry-budget.ts
@@ -1,21 +1,21 @@
-/** Keeps retries to a share of the load, and spaces them out. */
+/** Token bucket that limits retries to a share of the requests. */
 export class RetryBudget {
 	#tokens: number;
 
 	/**
-	 * @param retriesPerRequest - Retries allowed for each request.
-	 * @param maxTokens - Most retries that may come at once.
+	 * @param retriesPerRequest - Retries allowed per request.
+	 * @param maxTokens - Largest burst of retries.
 	 */
 	constructor(private readonly retriesPerRequest = 0.1, private readonly maxTokens = 10) {
 		this.#tokens = maxTokens;
 	}
 
-	/** Takes in a request that is not a retry. */
+	/** Records a request that is not a retry. */
 	observeRequest(): void {
 		this.#tokens = Math.min(this.maxTokens, this.#tokens + this.retriesPerRequest);
 	}
 
-	/** Takes the right to one retry, where there is one. */
+	/** Takes the token for one retry; false if there is none. */
 	acquireRetry(): boolean {
 		if (this.#tokens < 1) {
 			return false;
@@ -30,9 +30,9 @@
 const maxDelayMs = 200;
 
 /**
- * Returns the pause before a retry: exponential, with full jitter.
+ * Returns the delay before a retry, milliseconds: exponential, with jitter over its upper half.
  * @param attempt - Number of attempts made.
- * @param random - A number from zero up to one.
+ * @param random - Number from zero up to one.
  */
 export function getRetryDelayMs(attempt: number, random: number): number {
 	return Math.min(maxDelayMs, initialDelayMs * (2 ** attempt)) * (0.5 + (random / 2));
--- a/packages/decisions/src/retries/retry-table.ts
+++ b/packages/decisions/src/retries/retry-table.ts
@@ -1,25 +1,25 @@
-/** Kinds of requests that differ in what a second run does. */
+/** Classes of requests by the effect of running them twice. */
 export type RequestClass =
 	| 'read'
 	/** A write that may run twice. */
 	| 'repeatable-write'
-	/** A write whose identity the group records in the same transaction. */
+	/** A write whose request id the group records in the same transaction. */
 	| 'recorded-write'
 	/** A write that may not run twice and is not recorded. */
 	| 'unrecorded-write';
 
-/** How far a request had got when something broke. */
+/** How far an attempt at a request had got when it failed. */
 export type RequestStage =
-	/** It was not handed to an endpoint. */
+	/** It was not sent to an endpoint. */
 	| 'unsent'
 	/** The endpoint refused it before running it. */
 	| 'refused-by-endpoint'
-	/** It was handed to an endpoint and no answer came. */
+	/** It was sent to an endpoint and no response came. */
 	| 'unanswered'
-	/** It was answered, but no replica confirmed it in that term. */
+	/** It got a response, but no replica confirmed it in that term. */
 	| 'unconfirmed';
 
-/** What to do with a request after a failure. */
+/** What to do with a request after a failed attempt. */
 export type RetryDecision = 'retry' | 'refuse-not-run' | 'refuse-unknown';
 
 const decisions: Readonly<Record<RequestClass, Readonly<Record<RequestStage, RetryDecision>>>> = {
@@ -50,14 +50,14 @@
 	return isRepeatable ? 'repeatable-write' : 'unrecorded-write';
 }
 
-/** Looks up what to do after a failure. */
+/** Returns what to do after a failed attempt. */
 export function getRetryDecision(requestClass: RequestClass, stage: RequestStage): RetryDecision {
 	return decisions[requestClass][stage];
 }
 
 /**
- * Returns what a request that is given up on is told: "not run" only when no sending of it can have run.
- * @param stages - How far each sending got.
+ * Returns how to refuse a request that is not retried any more: as "not run" only if no attempt can have run.
+ * @param stages - How far each attempt got.
  * @param requestClass - Class of the request.
  */
 export function getFinalDecision(stages: readonly RequestStage[], requestClass: RequestClass): RetryDecision {
--- a/packages/decisions/src/routing/group-state.ts
+++ b/packages/decisions/src/routing/group-state.ts
@@ -1,9 +1,10 @@
 import {InstanceView} from './instance-view.js';
 
-/** What a proxy knows of one database group. */
+/** State of a database group as known to this proxy. */
 export class GroupState {
-	/** Highest term known, and the instance that leads it. */
+	/** Highest known term. */
 	term = 0;
+	/** Primary of that term, undefined until it is known. */
 	primaryName: string | undefined;
 	readonly #instances = new Map<string, InstanceView>();
 
@@ -13,7 +14,7 @@
 		return [...this.#instances.values()];
 	}
 
-	/** Returns the primary of the highest term known. */
+	/** The primary of the highest known term. */
 	get primary(): InstanceView | undefined {
 		return this.primaryName === undefined ? undefined : this.#instances.get(this.primaryName);
 	}
@@ -26,7 +27,7 @@
 		return this.#instances.get(name);
 	}
 
-	/** Adds an instance, or returns the one already there. */
+	/** Adds an instance, or returns the existing one. */
 	addInstance(name: string, zone: string): InstanceView {
 		const instance = this.#instances.get(name) ?? new InstanceView(name, zone);
 		this.#instances.set(name, instance);
@@ -38,10 +39,10 @@
 	}
 
 	/**
-	 * Takes in that an instance leads a term.
-	 * @param term - Term led.
-	 * @param primaryName - Instance that leads it.
-	 * @returns Whether that was news.
+	 * Records the primary of a term.
+	 * @param term - Term of the primary.
+	 * @param primaryName - Name of the primary.
+	 * @returns Whether the state changed.
 	 */
 	observePrimary(term: number, primaryName: string): boolean {
 		if (term < this.term || (term === this.term && this.primaryName !== undefined)) {
@@ -53,7 +54,7 @@
 		return true;
 	}
 
-	/** Takes in a term whose primary is not known yet; the primary of an older term is no longer used. */
+	/** Records a term whose primary is not known yet; the primary of an older term is no longer used. */
 	observeTerm(term: number): void {
 		if (term > this.term) {
 			this.term = term;
--- a/packages/decisions/src/routing/instance-view.ts
+++ b/packages/decisions/src/routing/instance-view.ts
@@ -1,6 +1,6 @@
 import {getLaterPosition, logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** What an instance says of itself. */
+/** Status of an instance as it reports it. */
 export type InstanceReport = {
 	readonly term: number;
 	readonly promoter: string;
@@ -10,7 +10,7 @@
 	readonly primarySilentMs: number;
 };
 
-/** What a proxy knows of one instance of a database group. */
+/** State of an instance of a database group as known to this proxy. */
 export class InstanceView {
 	/** Latest position that the instance is known to hold. */
 	position: LogPosition = logStart;
@@ -18,15 +18,15 @@
 	term = 0;
 	isPrimary = false;
 	isLeaving = false;
-	/** Time since when every attempt to reach it has failed. */
+	/** Time since which every attempt to reach it has failed. */
 	unreachableSince: number | undefined;
 	/** Requests of this proxy that are running on it. */
 	inUse = 0;
-	/** Most requests of this proxy that may run on it at once. */
+	/** Maximum number of requests of this proxy that run on it at once. */
 	limit = 1;
 	/** Smoothed duration of a request, in milliseconds. */
 	latencyMs = 0;
-	/** Time since the last word from the primary, as the instance said it. */
+	/** Time since the instance last heard from the primary, as it reported, in milliseconds. */
 	primarySilentMs = 0;
 	#stalenessMs = Number.POSITIVE_INFINITY;
 	#reportedAt = Number.NEGATIVE_INFINITY;
@@ -51,7 +51,7 @@
 		return this.isPrimary ? 0 : this.#stalenessMs + (now - this.#reportedAt);
 	}
 
-	/** Takes in a status, asked for at `sentAt`. */
+	/** Records a status that was requested at `sentAt`. */
 	observeReport(report: InstanceReport, sentAt: number): void {
 		this.observeReachable();
 		this.term = Math.max(this.term, report.term);
@@ -60,7 +60,7 @@
 		this.observePosition(report.position, report.stalenessMs, sentAt);
 	}
 
-	/** Takes in the position and staleness of an answer, asked for at `sentAt`. */
+	/** Records the position and staleness of a response that was requested at `sentAt`. */
 	observePosition(position: LogPosition, stalenessMs: number, sentAt: number): void {
 		this.position = getLaterPosition(this.position, position);
 		if (sentAt >= this.#reportedAt) {
@@ -77,9 +77,9 @@
 		this.unreachableSince ??= now;
 	}
 
-	/** Takes in the duration of one request. */
+	/** Records the duration of one request. */
 	observeLatency(durationMs: number): void {
-		const weight = 0.1;
-		this.latencyMs = this.latencyMs === 0 ? durationMs : this.latencyMs + (weight * (durationMs - this.latencyMs));
+		const smoothingFactor = 0.1;
+		this.latencyMs = this.latencyMs === 0 ? durationMs : this.latencyMs + (smoothingFactor * (durationMs - this.latencyMs));
 	}
 }
--- a/packages/decisions/src/routing/read-router.ts
+++ b/packages/decisions/src/routing/read-router.ts
@@ -2,11 +2,11 @@
 import {type GroupState} from './group-state.js';
 import {type InstanceView} from './instance-view.js';
 
-/** What a read asks of the instance that serves it. */
+/** Requirements of a read on the instance that serves it. */
 export type ReadRequirements = {
 	readonly position: LogPosition;
 	readonly primaryOnly: boolean;
-	/** Age of data that the read accepts; zero asks for none in particular. */
+	/** Staleness that the read accepts, milliseconds; zero means any. */
 	readonly maxStalenessMs: number;
 	/** Instances that have already failed to serve it. */
 	readonly tried: ReadonlySet<string>;
@@ -15,15 +15,15 @@
 /** Where to send a read next. */
 export type ReadChoice =
 	| {readonly kind: 'send'; readonly instance: InstanceView; readonly waitMs: number}
-	/** Instances could serve it but none has room. */
+	/** Instances could serve it but none has capacity. */
 	| {readonly kind: 'wait'}
 	/** No instance can serve it. */
 	| {readonly kind: 'none'};
 
-/** Names of the ways to place reads. */
+/** Policies for placing reads. */
 export type ReadPolicy = 'product' | 'primary-only' | 'round-robin';
 
-/** Time that a replica is given to reach a position, in milliseconds. */
+/** Time that a replica gets to reach a position, in milliseconds. */
 export const maxReplicaWaitMs = 25;
 
 const crossZonePenalty = 0.25;
@@ -40,40 +40,40 @@
 
 	/**
 	 * Chooses the instance for a read.
-	 * @param group - What is known of the group.
-	 * @param need - What the read asks.
+	 * @param group - State of the group.
+	 * @param requirements - Requirements of the read.
 	 * @param now - Monotonic time in milliseconds.
 	 */
-	chooseInstance(group: GroupState, need: ReadRequirements, now: number): ReadChoice {
+	chooseInstance(group: GroupState, requirements: ReadRequirements, now: number): ReadChoice {
 		// An instance that has not accepted the group's term may hold writes that were never acknowledged.
-		const usable = group.instances.filter(instance => !instance.isLeaving && instance.isReachable && instance.term === group.term && !need.tried.has(instance.name));
-		return this.#policies[this.policy](group, need, usable, now);
+		const usable = group.instances.filter(instance => !instance.isLeaving && instance.isReachable && instance.term === group.term && !requirements.tried.has(instance.name));
+		return this.#policies[this.policy](group, requirements, usable, now);
 	}
 
-	readonly #policies: Readonly<Record<ReadPolicy, (group: GroupState, need: ReadRequirements, usable: InstanceView[], now: number) => ReadChoice>> = {
-		product: (group, need, usable, now) => this.#chooseByPosition(group, need, usable, now),
-		'primary-only': (group, _need, usable) => this.#choosePrimary(group, usable),
-		'round-robin': (group, need, usable) => this.#chooseRoundRobin(group, need, usable),
+	readonly #policies: Readonly<Record<ReadPolicy, (group: GroupState, requirements: ReadRequirements, usable: InstanceView[], now: number) => ReadChoice>> = {
+		product: (group, requirements, usable, now) => this.#chooseByPosition(group, requirements, usable, now),
+		'primary-only': (group, _requirements, usable) => this.#choosePrimary(group, usable),
+		'round-robin': (group, requirements, usable) => this.#chooseRoundRobin(group, requirements, usable),
 	};
 
-	#chooseByPosition(group: GroupState, need: ReadRequirements, usable: InstanceView[], now: number): ReadChoice {
-		if (need.primaryOnly) {
+	#chooseByPosition(group: GroupState, requirements: ReadRequirements, usable: InstanceView[], now: number): ReadChoice {
+		if (requirements.primaryOnly) {
 			return this.#choosePrimary(group, usable);
 		}
 
-		const replicas = usable.filter(instance => instance.name !== group.primaryName && isFreshEnough(instance, need, now));
-		const ready = replicas.filter(instance => isAtLeast(instance.position, need.position));
+		const replicas = usable.filter(instance => instance.name !== group.primaryName && isFreshEnough(instance, requirements, now));
+		const ready = replicas.filter(instance => isAtLeast(instance.position, requirements.position));
 		if (ready.length > 0) {
 			return this.#chooseLeastLoaded(ready, 0);
 		}
 
-		const behind = replicas.filter(instance => instance.reportedLagMs <= maxReplicaWaitMs);
-		return behind.length > 0 ? this.#chooseLeastLoaded(behind, maxReplicaWaitMs) : this.#choosePrimary(group, usable);
+		const catchingUp = replicas.filter(instance => instance.reportedLagMs <= maxReplicaWaitMs);
+		return catchingUp.length > 0 ? this.#chooseLeastLoaded(catchingUp, maxReplicaWaitMs) : this.#choosePrimary(group, usable);
 	}
 
-	#chooseRoundRobin(group: GroupState, need: ReadRequirements, usable: InstanceView[]): ReadChoice {
+	#chooseRoundRobin(group: GroupState, requirements: ReadRequirements, usable: InstanceView[]): ReadChoice {
 		const others = usable.filter(instance => instance.name !== group.primaryName);
-		if (need.primaryOnly || others.length === 0) {
+		if (requirements.primaryOnly || others.length === 0) {
 			return this.#choosePrimary(group, usable);
 		}
 
@@ -103,6 +103,6 @@
 	}
 }
 
-function isFreshEnough(instance: InstanceView, need: ReadRequirements, now: number): boolean {
-	return need.maxStalenessMs === 0 || instance.getStalenessMs(now) <= need.maxStalenessMs;
+function isFreshEnough(instance: InstanceView, requirements: ReadRequirements, now: number): boolean {
+	return requirements.maxStalenessMs === 0 || instance.getStalenessMs(now) <= requirements.maxStalenessMs;
 }
--- a/packages/decisions/src/sessions/session.ts
+++ b/packages/decisions/src/sessions/session.ts
@@ -1,6 +1,6 @@
 import {getLaterPosition, logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** What a session has seen of one database group. */
+/** Position in one database group that the later requests of a session have to include. */
 export type SessionWatermark = {
 	readonly position: LogPosition;
 	/** True after a write with unknown outcome, until a read at the primary. */
@@ -9,15 +9,15 @@
 
 const initialWatermark: SessionWatermark = {position: logStart, primaryOnly: false};
 
-/** The positions that a caller's later requests have to see. */
+/** Session of a caller: the position in each group that its later requests have to include. */
 export class Session {
 	readonly #watermarks = new Map<string, SessionWatermark>();
 
-	constructor(marks: Iterable<readonly [string, SessionWatermark]> = []) {
-		this.#watermarks = new Map(marks);
+	constructor(watermarks: Iterable<readonly [string, SessionWatermark]> = []) {
+		this.#watermarks = new Map(watermarks);
 	}
 
-	/** Returns what the session has seen of a group. */
+	/** Returns the watermark of a group. */
 	getWatermark(group: string): SessionWatermark {
 		return this.#watermarks.get(group) ?? initialWatermark;
 	}
@@ -27,16 +27,16 @@
 	}
 
 	/**
-	 * Records an answer.
-	 * @param group - Group that answered.
-	 * @param position - Position that the answer includes.
-	 * @param isPrimary - Whether the primary gave it, which settles an unknown outcome.
+	 * Records the position of a response.
+	 * @param group - Group that responded.
+	 * @param position - Position that the response includes.
+	 * @param isPrimary - Whether the primary responded, which resolves an unknown outcome.
 	 */
 	observePosition(group: string, position: LogPosition, isPrimary: boolean): void {
-		const mark = this.getWatermark(group);
+		const watermark = this.getWatermark(group);
 		this.#watermarks.set(group, {
-			position: getLaterPosition(mark.position, position),
-			primaryOnly: mark.primaryOnly && !isPrimary,
+			position: getLaterPosition(watermark.position, position),
+			primaryOnly: watermark.primaryOnly && !isPrimary,
 		});
 	}
 
@@ -45,13 +45,13 @@
 		this.#watermarks.set(group, {...this.getWatermark(group), primaryOnly: true});
 	}
 
-	/** Takes in another session of the same caller: the later position of each group wins. */
+	/** Merges in another session of the same caller; the later position of each group is kept. */
 	merge(other: Session): void {
-		for (const [group, mark] of other.#watermarks) {
+		for (const [group, watermark] of other.#watermarks) {
 			const own = this.getWatermark(group);
 			this.#watermarks.set(group, {
-				position: getLaterPosition(own.position, mark.position),
-				primaryOnly: own.primaryOnly || mark.primaryOnly,
+				position: getLaterPosition(own.position, watermark.position),
+				primaryOnly: own.primaryOnly || watermark.primaryOnly,
 			});
 		}
 	}
--- a/packages/decisions/src/tests/queueing/fair-queue.test.ts
+++ b/packages/decisions/src/tests/queueing/fair-queue.test.ts
@@ -23,7 +23,7 @@
 	return {queue, add, drain};
 }
 
-test('an account that floods the queue waits for itself', t => {
+test('an account that floods the queue delays only its own requests', t => {
 	const {add, drain} = createQueue();
 	for (let count = 0; count < 50; count += 1) {
 		add('large');
@@ -31,16 +31,16 @@
 
 	add('small');
 	t.true(drain().indexOf('small') <= 1);
-	const plain = createQueue('first-come');
+	const firstCome = createQueue('first-come');
 	for (let count = 0; count < 50; count += 1) {
-		plain.add('large');
+		firstCome.add('large');
 	}
 
-	plain.add('small');
-	t.is(plain.drain().indexOf('small'), 50);
+	firstCome.add('small');
+	t.is(firstCome.drain().indexOf('small'), 50);
 });
 
-test('weights divide what is served', t => {
+test('accounts are served in proportion to their weights', t => {
 	const {add, drain} = createQueue();
 	for (let count = 0; count < 40; count += 1) {
 		add('one');
@@ -51,7 +51,7 @@
 	t.true(Math.abs(first.filter(account => account === 'three').length - 30) <= 2);
 });
 
-test('higher classes go first and none starves', t => {
+test('higher priority classes are served first and no class starves', t => {
 	const {add, drain} = createQueue();
 	for (let count = 0; count < 100; count += 1) {
 		add('payments', 'high');
@@ -63,7 +63,7 @@
 	t.true(low >= 3 && low <= 8, String(low));
 });
 
-test('requests past their deadline leave the queue, and those that cannot be placed are passed over', t => {
+test('requests past their deadline leave the queue, and those that cannot be placed are skipped', t => {
 	const {queue, add} = createQueue();
 	add('a', 'normal', 1, 10);
 	add('b');
--- a/packages/decisions/src/tests/queueing/wait-estimator.test.ts
+++ b/packages/decisions/src/tests/queueing/wait-estimator.test.ts
@@ -3,65 +3,65 @@
 
 const slots = 2;
 const serviceMs = 10;
-const aimMs = 120;
+const targetWaitMs = 120;
 const deadlineMs = 800;
 
-type Figures = {asked: number; inTime: number; late: number; refused: number};
+type Counts = {arrived: number; inTime: number; late: number; refused: number};
 
-/** Plays arrivals before two slots; requests wait in order until their deadline, or are refused on arrival by the estimate. */
-function play(perS: (second: number) => number, forS: number, estimator: WaitEstimator | undefined): Figures {
-	const figures: Figures = {
-		asked: 0, inTime: 0, late: 0, refused: 0,
+/** Simulates arrivals at two slots; requests wait in order until their deadline, or are refused on arrival by the estimate. */
+function simulate(getRatePerS: (second: number) => number, durationS: number, estimator: WaitEstimator | undefined): Counts {
+	const counts: Counts = {
+		arrived: 0, inTime: 0, late: 0, refused: 0,
 	};
 	const queue: number[] = [];
-	const ends: number[] = [];
+	const busyUntil: number[] = [];
 	let due = 0;
-	for (let now = 0; now < forS * 1000; now++) {
-		while (ends.length > 0 && ends[0]! <= now) {
-			ends.shift();
+	for (let now = 0; now < durationS * 1000; now++) {
+		while (busyUntil.length > 0 && busyUntil[0]! <= now) {
+			busyUntil.shift();
 		}
 
-		due += perS(Math.floor(now / 1000)) / 1000;
+		due += getRatePerS(Math.floor(now / 1000)) / 1000;
 		for (; due >= 1; due--) {
-			figures.asked += 1;
-			if (queue.length > 0 && (estimator?.estimateWaitMs(queue.length) ?? 0) > aimMs) {
-				figures.refused += 1;
+			counts.arrived += 1;
+			if (queue.length > 0 && (estimator?.estimateWaitMs(queue.length) ?? 0) > targetWaitMs) {
+				counts.refused += 1;
 			} else {
 				queue.push(now);
 			}
 		}
 
-		while (ends.length < slots && queue.length > 0) {
+		while (busyUntil.length < slots && queue.length > 0) {
 			const arrivedAt = queue.shift()!;
 			if (now - arrivedAt > deadlineMs) {
-				figures.refused += 1;
+				counts.refused += 1;
 				continue;
 			}
 
 			estimator?.observePlaced(queue.length, now);
-			ends.push(now + serviceMs);
-			figures[now + serviceMs - arrivedAt <= aimMs + serviceMs ? 'inTime' : 'late'] += 1;
+			busyUntil.push(now + serviceMs);
+			counts[now + serviceMs - arrivedAt <= targetWaitMs + serviceMs ? 'inTime' : 'late'] += 1;
 		}
 	}
 
-	return figures;
+	return counts;
 }
 
-test('a load of one and a half times the capacity: as many are served as with an unbounded queue, and those in time', t => {
-	const plain = play(() => 300, 10, undefined);
-	const early = play(() => 300, 10, new WaitEstimator());
-	t.true(early.inTime + early.late >= 0.97 * (plain.inTime + plain.late), JSON.stringify({plain, early}));
-	t.true(early.inTime >= 5 * plain.inTime, JSON.stringify({plain, early}));
+test('at 1.5 times the capacity as many requests are served as with an unbounded queue, and at least five times as many of them in time', t => {
+	const unbounded = simulate(() => 300, 10, undefined);
+	const estimated = simulate(() => 300, 10, new WaitEstimator());
+	t.true(estimated.inTime + estimated.late >= 0.97 * (unbounded.inTime + unbounded.late), JSON.stringify({unbounded, estimated}));
+	t.true(estimated.inTime >= 5 * unbounded.inTime, JSON.stringify({unbounded, estimated}));
 });
 
-test('a load within the capacity with short bursts: nobody is refused who would be served in time', t => {
-	const pace = (second: number) => second % 5 === 0 ? 220 : 120;
-	const early = play(pace, 20, new WaitEstimator());
-	t.is(early.refused, 0, JSON.stringify(early));
-	t.is(early.late, play(pace, 20, undefined).late);
+test('short bursts within the capacity: no request is refused that would be served in time', t => {
+	const getRatePerS = (second: number) => second % 5 === 0 ? 220 : 120;
+	const estimated = simulate(getRatePerS, 20, new WaitEstimator());
+	t.is(estimated.refused, 0, JSON.stringify(estimated));
+	t.is(estimated.late, simulate(getRatePerS, 20, undefined).late);
 });
 
-test('an outage says nothing of the pace', t => {
+test('an outage does not change the estimate', t => {
 	const estimator = new WaitEstimator();
 	for (let now = 0; now < 1000; now += 10) {
 		estimator.observePlaced(3, now);
--- a/packages/decisions/src/tests/retries/retry-table.test.ts
+++ b/packages/decisions/src/tests/retries/retry-table.test.ts
@@ -5,7 +5,7 @@
 
 const stages: RequestStage[] = ['unsent', 'refused-by-endpoint', 'unanswered', 'unconfirmed'];
 
-test('only an unrecorded write that may have run is not sent again', t => {
+test('every request is retried except an unrecorded write that may have run', t => {
 	const classes: RequestClass[] = ['read', 'repeatable-write', 'recorded-write', 'unrecorded-write'];
 	const refused = classes.flatMap(one => stages.filter(stage => getRetryDecision(one, stage) !== 'retry').map(stage => `${one} ${stage}`));
 	t.deepEqual(refused, ['unrecorded-write unanswered', 'unrecorded-write unconfirmed']);
@@ -13,7 +13,7 @@
 	t.is(getRequestClass('write', false, false), 'unrecorded-write');
 });
 
-test('"not run" is said only when no sending can have run', t => {
+test('"not run" is reported only if no attempt can have run', t => {
 	for (const requestClass of ['repeatable-write', 'recorded-write', 'unrecorded-write'] as const) {
 		t.is(getFinalDecision(['unsent', 'refused-by-endpoint'], requestClass), 'refuse-not-run');
 		t.is(getFinalDecision(['unanswered', 'refused-by-endpoint'], requestClass), 'refuse-unknown');
@@ -23,7 +23,7 @@
 	t.is(getFinalDecision(['unanswered'], 'read'), 'refuse-not-run');
 });
 
-test('retries stay below a tenth of the load, but for a reserve, and are spaced out', t => {
+test('retries stay below a tenth of the requests, except for an initial burst, and their delays grow', t => {
 	const budget = new RetryBudget();
 	let retries = 0;
 	for (let request = 0; request < 1000; request += 1) {
