--- a/packages/decisions/src/promotion/failure-detector.ts
+++ b/packages/decisions/src/promotion/failure-detector.ts
@@ -14,7 +14,7 @@
 
 /** Options of failure detection. */
 export type FailureDetectorOptions = {
-	/** Time for which a VM has to see failures. */
+	/** Time for which a VM has to see failures before a promotion is due. */
 	readonly suspicionMs: number;
 	/** Maximum age of another VM's report. */
 	readonly maxReportAgeMs: number;
--- a/packages/decisions/src/promotion/primary-liveness.ts
+++ b/packages/decisions/src/promotion/primary-liveness.ts
@@ -24,7 +24,7 @@
 
 /**
  * Whether a primary is dead according to the evidence of several VMs.
- * It is alive as long as one VM gets responses. Two VMs have to agree that it is dead, unless there is only one.
+ * It is alive as long as one VM gets responses. Two VMs have to agree that it is dead, unless only one could have evidence.
  * @param instanceId - Primary to check.
  * @param evidence - Newest evidence of each VM, including this one.
  * @param members - Number of VMs that could have evidence.
--- a/packages/decisions/src/queueing/wait-estimator.ts
+++ b/packages/decisions/src/queueing/wait-estimator.ts
@@ -21,7 +21,7 @@
 			this.#meanIntervalMs += smoothingFactor * (now - this.#lastPlacedAt - this.#meanIntervalMs);
 		}
 
-		// After the queue is empty, the next interval depends on arrivals and not on the service rate.
+		// When no request waits, the next interval depends on arrivals and not on the service rate.
 		this.#lastPlacedAt = remaining > 0 ? now : undefined;
 	}
 
--- a/packages/protocol/src/coordination/messages.ts
+++ b/packages/protocol/src/coordination/messages.ts
@@ -18,7 +18,7 @@
 	isRefused: optional(boolean),
 });
 
-/** Term and primary of a group, as in that revision of the store's row. */
+/** Term and primary of a group, as in the given revision of its row in the store. */
 const groupTermCodec = Codec.interface({
 	group: string,
 	term: number,
