--- a/packages/decisions/src/limits/admission-control.ts
+++ b/packages/decisions/src/limits/admission-control.ts
@@ -3,7 +3,7 @@
 } from './share-messages.js';
 import {ShareHolder} from './share-holder.js';
 
-/** What became of a request for admission. */
+/** Outcome of an admission request. */
 export type AdmissionDecision =
 	| {readonly kind: 'admitted'; readonly id: number}
 	| {readonly kind: 'refused'; readonly id: number; readonly retryAfterMs: number};
@@ -12,42 +12,44 @@
 
 type Arrivals = {weight: number; updatedAt: number};
 
-/** Longest time that a request waits for a token of an account with a high rate, in milliseconds. */
+/** Admission timeout for accounts with a high rate, in milliseconds. */
 export const minAdmissionTimeoutMs = 400;
-/** Longest time that a request waits for a token of an account with a low rate, in milliseconds. */
+/** Admission timeout for accounts with a low rate, in milliseconds. */
 export const maxAdmissionTimeoutMs = 1000;
 
-/** Time for which a pool counts as empty after it was, in milliseconds. */
+/** Time for which a pool counts as empty after a grant without tokens, in milliseconds. */
 const emptyPoolTtlMs = 250;
 
-/** Time between two reports of everything, in milliseconds. */
+/** Interval of full reports, in milliseconds. */
 const fullReportIntervalMs = 500;
-/** Pauses between reports for requests that wait, longer while nothing comes of them, in milliseconds. */
+/** Intervals of partial reports while requests wait, in milliseconds; one step longer after each grant without tokens. */
 const partialReportIntervalsMs = [0, 25, 50, 75, 100] as const;
 
-/** Pause before the allocator is told that tokens of a small burst are spent, in milliseconds. */
+/** Delay before spent tokens of an account with a small burst are reported, in milliseconds. */
 const spentTokensReportDelayMs = 40;
-/** A burst of less than what comes in during this time is small, in milliseconds. */
+/** A burst that the account's rate refills in less than this time is small, in milliseconds. */
 const smallBurstRefillMs = 1500;
 
-/** An allocator that has not answered for this long is silent, in milliseconds. */
+/** Time without a grant after which the allocator counts as unresponsive, in milliseconds. */
 const allocatorTimeoutMs = 700;
 
+/** Time constant of the exponential average of arrivals, in milliseconds. */
 const demandTimeConstantMs = 1000;
+/** Weight below which an account's arrivals are dropped. */
 const minArrivalWeight = 0.01;
 
-/** Reports that an admission control sends: of everything, or of the accounts whose requests wait. */
+/** Scope of a report: every known account, or only accounts with waiting requests or newly spent tokens. */
 export type DemandReportKind = 'full' | 'partial';
 
-/** Admits requests against the shares held and asks for more where requests wait. */
+/** Admits requests against the shares held by this VM and requests more tokens while requests wait. */
 export class AdmissionControl {
 	readonly #holder: ShareHolder;
 	readonly #waiters = new Map<string, Waiter[]>();
 	readonly #arrivals = new Map<string, Arrivals>();
-	/** When the allocator last had no token for an account's waiting requests, and when it expected one. */
-	readonly #emptyPools = new Map<string, {readonly at: number; readonly nextTokenMs: number}>();
+	/** When the allocator last had no token for an account's waiting requests, and its estimate of the next one. */
+	readonly #emptyPools = new Map<string, {readonly observedAt: number; readonly nextTokenMs: number}>();
 
-	/** Accounts whose last tokens the allocator should soon know to be spent. */
+	/** Accounts with a small burst whose last tokens have to be reported as spent. */
 	readonly #unreportedSpending = new Set<string>();
 	#lastReportAt = Number.NEGATIVE_INFINITY;
 	#lastGrantAt = Number.NEGATIVE_INFINITY;
@@ -67,12 +69,12 @@
 	}
 
 	/**
-	 * Asks for the admission of a request.
-	 * @param id - Identity by which a later decision is told.
+	 * Requests admission.
+	 * @param id - Identifier of the request in a later decision.
 	 * @param account - Client account of the request.
-	 * @param deadline - Time after which the request is of no use.
+	 * @param deadline - Time at which the request expires, in milliseconds of the monotonic clock.
 	 * @param now - Monotonic time in milliseconds.
-	 * @returns The decision, or undefined when the request waits.
+	 * @returns The decision, or undefined if the request waits for a token.
 	 */
 	requestAdmission(id: number, account: string, deadline: number, now: number): AdmissionDecision | undefined {
 		this.#recordArrival(account, now);
@@ -81,18 +83,18 @@
 			return {kind: 'admitted', id};
 		}
 
-		const expectedMs = this.#estimateWaitMs(account, waiters.length, now);
-		const longestWaitMs = this.#getAdmissionTimeoutMs(account, now);
-		if (expectedMs > Math.min(longestWaitMs, deadline - now)) {
-			return {kind: 'refused', id, retryAfterMs: Math.ceil(expectedMs)};
+		const waitMs = this.#estimateWaitMs(account, waiters.length, now);
+		const timeoutMs = this.#getAdmissionTimeoutMs(account, now);
+		if (waitMs > Math.min(timeoutMs, deadline - now)) {
+			return {kind: 'refused', id, retryAfterMs: Math.ceil(waitMs)};
 		}
 
-		waiters.push({id, expiresAt: Math.min(deadline, now + longestWaitMs)});
+		waiters.push({id, expiresAt: Math.min(deadline, now + timeoutMs)});
 		this.#waiters.set(account, waiters);
 		return undefined;
 	}
 
-	/** Decides on the requests that have waited. */
+	/** Admits or refuses waiting requests; returns the decisions made. */
 	processWaiters(now: number): AdmissionDecision[] {
 		const decisions: AdmissionDecision[] = [];
 		for (const [account, waiters] of this.#waiters) {
@@ -105,23 +107,23 @@
 		return decisions;
 	}
 
-	/** Returns the report that is due, undefined where none is. */
+	/** Returns the kind of the report that is due, undefined if none is. */
 	getDueReportKind(now: number): DemandReportKind | undefined {
-		const isKnown = this.#arrivals.size > 0 || this.#holder.getAccounts().length > 0;
-		if (isKnown && now - this.#lastFullReportAt >= fullReportIntervalMs) {
+		const hasAccounts = this.#arrivals.size > 0 || this.#holder.getAccounts().length > 0;
+		if (hasAccounts && now - this.#lastFullReportAt >= fullReportIntervalMs) {
 			return 'full';
 		}
 
-		const pauseMs = partialReportIntervalsMs[Math.min(this.#consecutiveEmptyGrants, partialReportIntervalsMs.length - 1)]!;
-		const isSettlementDue = this.#unreportedSpending.size > 0 && now - this.#lastReportAt >= spentTokensReportDelayMs;
-		return isSettlementDue || (this.hasWaiters() && now - this.#lastReportAt >= pauseMs) ? 'partial' : undefined;
+		const intervalMs = partialReportIntervalsMs[Math.min(this.#consecutiveEmptyGrants, partialReportIntervalsMs.length - 1)]!;
+		const isSpendingDue = this.#unreportedSpending.size > 0 && now - this.#lastReportAt >= spentTokensReportDelayMs;
+		return isSpendingDue || (this.hasWaiters() && now - this.#lastReportAt >= intervalMs) ? 'partial' : undefined;
 	}
 
 	/**
-	 * Writes a report for the allocator.
-	 * @param vm - This VM.
-	 * @param incarnation - This process.
-	 * @param isPartial - Whether to list only accounts whose requests wait.
+	 * Creates a report for the allocator and restarts the report intervals.
+	 * @param vm - Name of this VM.
+	 * @param incarnation - Identifier of this process.
+	 * @param isPartial - Whether to list only accounts with waiting requests or newly spent tokens.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	createReport(vm: string, incarnation: string, isPartial: boolean, now: number): DemandReport {
@@ -135,7 +137,7 @@
 		};
 	}
 
-	/** Writes the last report of a process that shuts down: everything goes back. */
+	/** Creates the last report of a process that shuts down, which returns all tokens, and drops all shares. */
 	createFinalReport(vm: string, incarnation: string, now: number): DemandReport {
 		const report = this.createReport(vm, incarnation, false, now);
 		const accounts = report.accounts.map(demand => ({
@@ -145,6 +147,13 @@
 		return {...report, leaving: true, accounts};
 	}
 
+	/**
+	 * Applies a grant.
+	 * @param grant - Response to the last report sent.
+	 * @param sentAt - Time at which that report was sent.
+	 * @param isPartial - Whether accounts that the grant does not list keep their shares.
+	 * @param now - Monotonic time in milliseconds.
+	 */
 	applyGrant(grant: ShareGrant, sentAt: number, isPartial: boolean, now: number): void {
 		this.#holder.applyGrant(grant, sentAt, isPartial, now);
 		this.#lastGrantAt = now;
@@ -155,12 +164,12 @@
 			}
 
 			if (tokens < 1 && this.#waiters.has(account)) {
-				this.#emptyPools.set(account, {at: now, nextTokenMs});
+				this.#emptyPools.set(account, {observedAt: now, nextTokenMs});
 			}
 		}
 	}
 
-	/** Time in which two tokens come in, within bounds; the longest while the allocator is silent, which soon has a successor. */
+	/** Returns the time in which the rate yields two tokens, within bounds; the maximum while the allocator is unresponsive, since a successor takes over soon. */
 	#getAdmissionTimeoutMs(account: string, now: number): number {
 		if (now - this.#lastGrantAt > allocatorTimeoutMs) {
 			return maxAdmissionTimeoutMs;
@@ -170,7 +179,7 @@
 		return Math.min(maxAdmissionTimeoutMs, Math.max(minAdmissionTimeoutMs, 2000 / rate));
 	}
 
-	/** Spaces reports out while requests wait and no token comes. */
+	/** Lengthens the interval of partial reports while requests wait and grants bring no tokens. */
 	#updateReportBackoff(grant: ShareGrant): void {
 		const waiting = grant.accounts.filter(share => this.#waiters.has(share.account));
 		if (waiting.length > 0) {
@@ -178,7 +187,7 @@
 		}
 	}
 
-	/** Whether tokens that the allocator does not know to be spent would take up much of an account's burst. */
+	/** Says whether tokens not yet reported as spent would take up much of an account's burst. */
 	#hasSmallBurst(account: string): boolean {
 		const limits = this.getLimits(account);
 		return limits !== undefined && limits.burst < (limits.rate * smallBurstRefillMs) / 1000;
@@ -212,13 +221,13 @@
 	#processAccountWaiters(account: string, waiters: Waiter[], decisions: AdmissionDecision[], now: number): void {
 		while (waiters.length > 0) {
 			const [first] = waiters;
-			const isLate = now >= first!.expiresAt;
-			if (!isLate && !this.#holder.takeToken(account, now)) {
+			const isExpired = now >= first!.expiresAt;
+			if (!isExpired && !this.#holder.takeToken(account, now)) {
 				return;
 			}
 
 			waiters.shift();
-			decisions.push(isLate
+			decisions.push(isExpired
 				? {kind: 'refused', id: first!.id, retryAfterMs: Math.ceil(this.#estimateWaitMs(account, waiters.length, now))}
 				: {kind: 'admitted', id: first!.id});
 		}
@@ -229,21 +238,21 @@
 		this.#arrivals.set(account, {weight: (arrivals === undefined ? 0 : getDecayedWeight(arrivals, now)) + 1, updatedAt: now});
 	}
 
-	/** Time until the tokens for the requests ahead and this one have come in. */
-	#estimateWaitMs(account: string, ahead: number, now: number): number {
+	/** Estimates the time until there are tokens for the requests ahead and for this one, in milliseconds. */
+	#estimateWaitMs(account: string, requestsAhead: number, now: number): number {
 		const limits = this.getLimits(account);
 		if (limits === undefined) {
 			return maxAdmissionTimeoutMs;
 		}
 
-		const missing = Math.max(0, ahead + 1 - this.#holder.getTokens(account, now));
-		// Until the allocator has just said otherwise, the pool can be hoped for.
-		const starved = this.#emptyPools.get(account);
-		const isStarved = starved !== undefined && now - starved.at < emptyPoolTtlMs;
-		const fromPoolMs = isStarved ? starved.nextTokenMs + ((missing * 1000) / limits.rate) - (now - starved.at) : 0;
+		const missingTokens = Math.max(0, requestsAhead + 1 - this.#holder.getTokens(account, now));
+		// The pool counts as available unless a recent grant reported it empty.
+		const emptyPool = this.#emptyPools.get(account);
+		const isPoolEmpty = emptyPool !== undefined && now - emptyPool.observedAt < emptyPoolTtlMs;
+		const fromPoolMs = isPoolEmpty ? emptyPool.nextTokenMs + ((missingTokens * 1000) / limits.rate) - (now - emptyPool.observedAt) : 0;
 		const localRate = this.#holder.getRate(account, now);
-		const locallyMs = localRate > 0 ? (missing * 1000) / localRate : Number.POSITIVE_INFINITY;
-		return Math.max(0, Math.min(fromPoolMs, locallyMs));
+		const fromLocalRateMs = localRate > 0 ? (missingTokens * 1000) / localRate : Number.POSITIVE_INFINITY;
+		return Math.max(0, Math.min(fromPoolMs, fromLocalRateMs));
 	}
 }
 
--- a/packages/decisions/src/limits/share-allocator.ts
+++ b/packages/decisions/src/limits/share-allocator.ts
@@ -4,6 +4,7 @@
 	type AccountDemand, type AccountShare, type AllocatorState, type DemandReport, type LimitsLookup, type ShareGrant,
 } from './share-messages.js';
 
+/** Fractions of an account's rate and burst. */
 type Fractions = {readonly rate: number; readonly burst: number};
 
 type IssuedGrant = {
@@ -22,35 +23,36 @@
 
 /** Settings of the allocator. */
 export type AllocatorOptions = {
-	/** Time that a grant may be used, in milliseconds. */
+	/** Validity of a grant, in milliseconds. */
 	readonly validMs: number;
-	/** Largest part of a rate that is handed out; the rest fills the pool. */
+	/** Maximum fraction of a rate that is granted to VMs; the rest refills the pool. */
 	readonly maxLocalRateFraction: number;
-	/** Part of a VM's own demand that its rate covers; it asks the pool for the rest. */
+	/** Fraction of a VM's demand that its local rate covers; it requests the rest from the pool. */
 	readonly coveredDemandFraction: number;
-	/** Time for which a VM may hold tokens ahead of its demand, in milliseconds. */
+	/** Time of demand for which a VM may hold tokens in advance, in milliseconds. */
 	readonly prefetchMs: number;
-	/** Largest part of a burst that is set aside for what local rates bring in. */
+	/** Maximum fraction of a burst reserved for tokens from local rates. */
 	readonly maxLocalBurstFraction: number;
-	/** Time for which local rates have room, in milliseconds. */
+	/** Time of refill at its local rate for which a VM's bucket has capacity, in milliseconds. */
 	readonly localBufferMs: number;
 };
 
+/** Options used unless others are given. */
 export const defaultAllocatorOptions: AllocatorOptions = {
 	validMs: 2000, maxLocalRateFraction: 0.85, coveredDemandFraction: 0.95, prefetchMs: 300, maxLocalBurstFraction: 0.35, localBufferMs: 400,
 };
 
 const zeroFractions: Fractions = {rate: 0, burst: 0};
+/** Tolerance for rounding errors of rates and token counts. */
 const epsilon = 1e-9;
-/** Tokens that a VM's part of a burst has to have room for, before it gets a rate of its own. */
+/** Minimum capacity in tokens of a VM's share of a burst before it gets a local rate. */
 const minLocalBurstTokens = 4;
-/** Longest time that a refusal names, in milliseconds. */
+/** Upper bound of the estimated time until the next token, in milliseconds. */
 const maxNextTokenMs = 60_000;
 
 /**
- * Divides the rate and burst of every client account between the VMs and a pool.
- * Whatever was granted counts as in use until its holder has confirmed a later grant or the grant has expired,
- * so the fractions in use never add up to more than one.
+ * Divides the rate and burst of every client account between the VMs and a shared pool.
+ * A grant counts as in use until its holder confirms a later one or it expires, so the fractions in use never add up to more than one.
  */
 export class ShareAllocator {
 	readonly #holders = new Map<string, HolderState>();
@@ -58,23 +60,22 @@
 	#sequence = 0;
 
 	/**
-	 * @param startedAt - Time at which every earlier grant has expired; all pools start empty.
-	 * @param getLimits - Limits in force.
-	 * @param options - Settings.
+	 * @param startedAt - Time by which all grants of earlier allocators have expired; all pools start empty.
+	 * @param getLimits - Returns the active limits of an account.
 	 */
 	constructor(private readonly startedAt: number, private readonly getLimits: LimitsLookup, private readonly options: AllocatorOptions = defaultAllocatorOptions) {}
 
 	/**
-	 * Answers a report with the shares that its sender may use.
+	 * Creates the grant that answers a report.
 	 * @param report - Report of one VM.
-	 * @param usableUntil - Time until which the allocator's lease lets grants be used.
+	 * @param usableUntil - Time at which the allocator's lease ends, which bounds the validity of the grant.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	createGrant(report: DemandReport, usableUntil: number, now: number): ShareGrant {
 		const id = `${report.vm}#${report.incarnation}`;
 		this.#removeExpired(now);
 		const holder = this.#getHolder(id);
-		// The pools fill at what was in use until now, before this report confirms less.
+		// Refill the pools with the fractions that were in use until now, before this report releases some.
 		this.#refillPools(holder, report.accounts.map(demand => demand.account), now);
 		holder.grants = holder.grants.filter(grant => grant.sequence === report.appliedSequence);
 		this.#recordDemand(holder, report);
@@ -91,7 +92,7 @@
 		return {sequence: this.#sequence, validMs, accounts};
 	}
 
-	/** Writes down everything that a successor has to know; this allocator grants nothing afterwards. */
+	/** Returns the state for a successor; this allocator must not create grants afterwards. */
 	exportState(now: number): AllocatorState {
 		this.#removeExpired(now);
 		const pools = [...this.#pools.keys()].map(account => ({account, level: this.#refillPool(account, now).level}));
@@ -106,7 +107,7 @@
 		return {sequence: this.#sequence, pools, grants};
 	}
 
-	/** Takes over from a predecessor. What was on its way meanwhile only makes grants seem to last longer. */
+	/** Adopts the state of a predecessor. The transfer time only extends how long its grants count as in use. */
 	importState(state: AllocatorState, now: number): void {
 		this.#sequence = state.sequence;
 		for (const {account, level} of state.pools) {
@@ -119,7 +120,7 @@
 		}
 	}
 
-	/** Returns the fractions of an account that may be in use, which never exceed one. */
+	/** Returns the fractions of an account that may be in use; they never exceed one. */
 	getCommitted(account: string, now: number): Fractions {
 		this.#removeExpired(now);
 		return this.#sumCommitted('', account);
@@ -161,55 +162,55 @@
 			};
 		}
 
-		const {part, total} = this.#getDemandFraction(demand);
-		const rate = this.#chooseRate(demand, part, total, limits, others);
-		const kept = this.#chooseKeptTokens(demand, part, limits.rate, rate);
-		const wanted = this.#chooseGrantedTokens(demand, kept, pool, part);
-		const burst = clampFraction((kept + wanted + this.#getRequiredCapacity(rate * limits.rate)) / limits.burst, 1 - others.burst);
-		const tokens = Math.max(0, Math.min(wanted, (burst * limits.burst) - kept));
-		holder.waiting.set(demand.account, Math.max(0, demand.waiting - kept - tokens));
-		const remaining = Math.max(0, 1 - others.burst - Math.max(burst, before.burst));
-		pool.level = Math.min(pool.level - tokens, remaining * limits.burst);
+		const {fraction, total} = this.#getDemandFraction(demand);
+		const rate = this.#chooseRate(demand, fraction, total, limits, others);
+		const keptTokens = this.#chooseKeptTokens(demand, fraction, limits.rate, rate);
+		const desiredTokens = this.#chooseGrantedTokens(demand, keptTokens, pool, fraction);
+		const burst = clampFraction((keptTokens + desiredTokens + this.#getRequiredCapacity(rate * limits.rate)) / limits.burst, 1 - others.burst);
+		const tokens = Math.max(0, Math.min(desiredTokens, (burst * limits.burst) - keptTokens));
+		holder.waiting.set(demand.account, Math.max(0, demand.waiting - keptTokens - tokens));
+		const freeFraction = Math.max(0, 1 - others.burst - Math.max(burst, before.burst));
+		pool.level = Math.min(pool.level - tokens, freeFraction * limits.burst);
 		return {
 			account: demand.account, rateFraction: rate, burstFraction: burst, tokens, nextTokenMs: this.#estimateNextTokenMs(demand, pool, others.rate + Math.max(rate, before.rate), limits.rate),
 		};
 	}
 
-	/** Rate that the VM's own demand uses up, where its part of the burst has room for what comes in between two reports. */
-	#chooseRate(demand: AccountDemand, part: number, total: number, limits: AccountLimits, others: Fractions): number {
+	/** Chooses the rate fraction that the VM's demand uses up, zero if its share of the burst can't buffer the refill between two reports. */
+	#chooseRate(demand: AccountDemand, fraction: number, total: number, limits: AccountLimits, others: Fractions): number {
 		const isSaturated = total > limits.rate;
-		const localRateShare = isSaturated ? getSaturatedRateFraction(this.options) : this.options.maxLocalRateFraction;
-		const wanted = Math.min(localRateShare * part * limits.rate, isSaturated ? limits.rate : this.options.coveredDemandFraction * demand.perSecond);
-		const room = this.options.maxLocalBurstFraction * part * limits.burst;
-		if (room < minLocalBurstTokens) {
+		const maxRateFraction = isSaturated ? getSaturatedRateFraction(this.options) : this.options.maxLocalRateFraction;
+		const desiredRate = Math.min(maxRateFraction * fraction * limits.rate, isSaturated ? limits.rate : this.options.coveredDemandFraction * demand.perSecond);
+		const capacity = this.options.maxLocalBurstFraction * fraction * limits.burst;
+		if (capacity < minLocalBurstTokens) {
 			return 0;
 		}
 
-		const affordable = Math.min(wanted, (room - 1) * (1000 / this.options.localBufferMs));
-		return clampFraction(affordable / limits.rate, localRateShare - others.rate);
+		const bufferedRate = Math.min(desiredRate, (capacity - 1) * (1000 / this.options.localBufferMs));
+		return clampFraction(bufferedRate / limits.rate, maxRateFraction - others.rate);
 	}
 
-	/** Tokens that a bucket has to have room for, so that its rate does not run to waste. */
+	/** Returns the capacity in tokens that a bucket needs so that refills at its rate do not overflow it. */
 	#getRequiredCapacity(rate: number): number {
 		return rate < epsilon ? 0 : 1 + ((rate * this.options.localBufferMs) / 1000);
 	}
 
-	/** Tokens that the VM keeps; where no rate tops them up, a fraction of one is of no use to it. */
-	#chooseKeptTokens(demand: AccountDemand, part: number, limit: number, rate: number): number {
-		const ceiling = demand.waiting + ((Math.min(demand.perSecond, limit * part) * this.options.prefetchMs) / 1000);
-		return rate > 0 ? Math.min(demand.heldTokens, Math.ceil(ceiling)) : Math.floor(Math.min(demand.heldTokens, ceiling) + epsilon);
+	/** Chooses the tokens that the VM keeps; whole ones if it has no local rate, as nothing would complete a fraction of a token. */
+	#chooseKeptTokens(demand: AccountDemand, fraction: number, limit: number, rate: number): number {
+		const maxTokens = demand.waiting + ((Math.min(demand.perSecond, limit * fraction) * this.options.prefetchMs) / 1000);
+		return rate > 0 ? Math.min(demand.heldTokens, Math.ceil(maxTokens)) : Math.floor(Math.min(demand.heldTokens, maxTokens) + epsilon);
 	}
 
-	/** Tokens for the waiting requests and, from a pool that has enough, for those expected soon; always to whole ones. */
-	#chooseGrantedTokens(demand: AccountDemand, kept: number, pool: Pool, part: number): number {
+	/** Chooses the tokens granted for waiting requests and, if the pool has enough, for those expected soon; fills up to whole tokens. */
+	#chooseGrantedTokens(demand: AccountDemand, keptTokens: number, pool: Pool, fraction: number): number {
 		if (demand.waiting === 0) {
 			return 0;
 		}
 
-		const expected = (demand.perSecond * this.options.prefetchMs) / 1000;
-		const needed = Math.max(0, demand.waiting - kept);
-		const ahead = Math.max(0, Math.min(Math.floor(demand.waiting + expected - kept), Math.floor(pool.level * part)));
-		return Math.max(0, Math.floor(kept + Math.min(Math.max(needed, ahead), pool.level) + epsilon) - kept);
+		const expectedTokens = (demand.perSecond * this.options.prefetchMs) / 1000;
+		const neededTokens = Math.max(0, demand.waiting - keptTokens);
+		const prefetchedTokens = Math.max(0, Math.min(Math.floor(demand.waiting + expectedTokens - keptTokens), Math.floor(pool.level * fraction)));
+		return Math.max(0, Math.floor(keptTokens + Math.min(Math.max(neededTokens, prefetchedTokens), pool.level) + epsilon) - keptTokens);
 	}
 
 	#estimateNextTokenMs(demand: AccountDemand, pool: Pool, committedRate: number, rate: number): number {
@@ -222,13 +223,13 @@
 		return Math.min(maxNextTokenMs, (Math.max(0, Math.max(1, waiting) - pool.level) / poolRate) * 1000);
 	}
 
-	#getDemandFraction(demand: AccountDemand): {part: number; total: number} {
+	#getDemandFraction(demand: AccountDemand): {fraction: number; total: number} {
 		let total = 0;
 		for (const holder of this.#holders.values()) {
 			total += holder.demand.get(demand.account) ?? 0;
 		}
 
-		return {part: total < epsilon ? 0 : demand.perSecond / total, total};
+		return {fraction: total < epsilon ? 0 : demand.perSecond / total, total};
 	}
 
 	#refillPools(holder: HolderState, accounts: readonly string[], now: number): void {
@@ -237,7 +238,7 @@
 		}
 	}
 
-	/** Fills the pool of an account at the rate, and up to the burst, that nobody else may use. */
+	/** Refills the pool of an account at the rate, and up to the burst, that no grant in use covers. */
 	#refillPool(account: string, now: number): Pool {
 		const pool = this.#pools.get(account) ?? {level: 0, updatedAt: this.startedAt};
 		const limits = this.getLimits(account);
@@ -247,18 +248,19 @@
 		}
 
 		const committed = this.#sumCommitted('', account);
-		const gained = ((now - pool.updatedAt) / 1000) * limits.rate * Math.max(0, 1 - committed.rate);
-		pool.level = Math.min(Math.max(0, 1 - committed.burst) * limits.burst, pool.level + gained);
+		const refill = ((now - pool.updatedAt) / 1000) * limits.rate * Math.max(0, 1 - committed.rate);
+		pool.level = Math.min(Math.max(0, 1 - committed.burst) * limits.burst, pool.level + refill);
 		pool.updatedAt = now;
 		this.#pools.set(account, pool);
 		return pool;
 	}
 
-	#sumCommitted(id: string, account: string): Fractions {
+	/** Sums the fractions of an account in use by all holders but one. */
+	#sumCommitted(excludedId: string, account: string): Fractions {
 		let rate = 0;
 		let burst = 0;
-		for (const [otherId, holder] of this.#holders) {
-			if (otherId !== id) {
+		for (const [id, holder] of this.#holders) {
+			if (id !== excludedId) {
 				const committed = getCommittedFractions(holder, account);
 				rate += committed.rate;
 				burst += committed.burst;
@@ -278,6 +280,7 @@
 	}
 }
 
+/** Returns the maximum fractions over a holder's grants, any of which may be in use. */
 function getCommittedFractions(holder: HolderState, account: string): Fractions {
 	let {rate, burst} = zeroFractions;
 	for (const grant of holder.grants) {
@@ -289,11 +292,11 @@
 	return {rate, burst};
 }
 
-/** When a rate is used up there is nothing to keep for others. */
+/** Returns the maximum fraction granted as local rates when demand exceeds the rate: holding more back for the pool gains nothing. */
 function getSaturatedRateFraction(options: AllocatorOptions): number {
 	return options.maxLocalRateFraction === 0 ? 0 : 0.95;
 }
 
-function clampFraction(value: number, free: number): number {
-	return Math.max(0, Math.min(value, free));
+function clampFraction(value: number, available: number): number {
+	return Math.max(0, Math.min(value, available));
 }
--- a/packages/decisions/src/limits/share-holder.ts
+++ b/packages/decisions/src/limits/share-holder.ts
@@ -5,14 +5,14 @@
 	burstFraction: number;
 	tokens: number;
 	updatedAt: number;
-	/** Tokens that no longer fit and go back with the next report. */
+	/** Tokens above the bucket's capacity, returned with the next report. */
 	excessTokens: number;
 };
 
-/** A token that fractions have been multiplied out to may fall short by this much. */
+/** Amount by which a whole token may fall short, due to rounding when fractions are multiplied. */
 const tokenTolerance = 1e-9;
 
-/** The shares of account limits that one VM may use until they expire. */
+/** Holds the shares of account limits that one VM may use until they expire. */
 export class ShareHolder {
 	readonly #shares = new Map<string, HeldShare>();
 	#sequence = 0;
@@ -20,11 +20,12 @@
 
 	constructor(private readonly getLimits: LimitsLookup) {}
 
-	/** Sequence of the last grant applied, zero for none. */
+	/** Sequence number of the last grant applied, zero for none. */
 	get sequence(): number {
 		return this.#sequence;
 	}
 
+	/** Time at which the shares expire. */
 	get validUntil(): number {
 		return this.#validUntil;
 	}
@@ -33,17 +34,17 @@
 		return [...this.#shares.keys()];
 	}
 
-	/** Returns the tokens an account may use now. */
+	/** Returns the tokens that an account may use now. */
 	getTokens(account: string, now: number): number {
 		return this.#refillShare(account, now)?.tokens ?? 0;
 	}
 
-	/** Returns the rate at which an account's tokens come in, a second. */
+	/** Returns the local refill rate of an account, in tokens per second. */
 	getRate(account: string, now: number): number {
 		return now < this.#validUntil ? (this.#shares.get(account)?.rateFraction ?? 0) * (this.getLimits(account)?.rate ?? 0) : 0;
 	}
 
-	/** Takes one token of an account, where there is one. */
+	/** Takes one token of an account; returns false if there is none. */
 	takeToken(account: string, now: number): boolean {
 		const share = this.#refillShare(account, now);
 		if (share === undefined || share.tokens < 1 - tokenTolerance) {
@@ -54,7 +55,7 @@
 		return true;
 	}
 
-	/** Removes and returns the tokens that go back to the allocator. */
+	/** Removes and returns the tokens to be returned to the allocator. */
 	removeReturnedTokens(account: string): number {
 		const share = this.#shares.get(account);
 		const returned = share?.excessTokens ?? 0;
@@ -67,9 +68,9 @@
 
 	/**
 	 * Applies a grant.
-	 * @param grant - Grant that answers the last report sent.
-	 * @param sentAt - Time at which the report was sent.
-	 * @param isPartial - Whether accounts that the grant does not list keep their share.
+	 * @param grant - Response to the last report sent.
+	 * @param sentAt - Time at which that report was sent.
+	 * @param isPartial - Whether accounts that the grant does not list keep their shares.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	applyGrant(grant: ShareGrant, sentAt: number, isPartial: boolean, now: number): void {
@@ -89,7 +90,7 @@
 		this.#validUntil = sentAt + grant.validMs;
 	}
 
-	/** Drops everything; a later report starts anew. */
+	/** Drops all shares; the next report tells the allocator that no grant is in use. */
 	clear(): void {
 		this.#shares.clear();
 		this.#sequence = 0;
--- a/packages/decisions/src/limits/share-messages.ts
+++ b/packages/decisions/src/limits/share-messages.ts
@@ -1,64 +1,65 @@
 import {type AccountLimits} from '@chicorysaddle/model';
 
-/** Looks up the limits of a client account in the configuration in force. */
+/** Returns the limits of a client account in the active configuration, undefined for an unknown account. */
 export type LimitsLookup = (account: string) => AccountLimits | undefined;
 
-/** What one VM reports of one client account. */
+/** Demand and tokens of one client account at one VM. */
 export type AccountDemand = {
 	readonly account: string;
-	/** Smoothed arrivals a second. */
+	/** Exponentially smoothed arrivals per second. */
 	readonly perSecond: number;
-	/** Requests that wait for a token. */
+	/** Number of requests waiting for a token. */
 	readonly waiting: number;
 	/** Tokens held by the sender. */
 	readonly heldTokens: number;
-	/** Tokens given back; already deducted by the sender. */
+	/** Tokens returned to the pool; the sender has already deducted them. */
 	readonly returnedTokens: number;
 };
 
-/** What one VM reports to the allocator. */
+/** Report that one VM sends to the allocator. */
 export type DemandReport = {
 	readonly vm: string;
 	readonly incarnation: string;
-	/** Last grant applied by the sender; earlier and unapplied ones are void. */
+	/** Sequence number of the last grant that the sender applied; all other grants to it are void. */
 	readonly appliedSequence: number;
+	/** Whether the sender shuts down and returns everything. */
 	readonly leaving: boolean;
-	/** Whether accounts that are not listed keep their share. */
+	/** Whether accounts that are not listed keep their shares. */
 	readonly partial: boolean;
 	readonly accounts: readonly AccountDemand[];
 };
 
-/** Share of one account's limits, as fractions of its rate and burst. */
+/** One VM's share of an account's limits, as fractions of the rate and burst. */
 export type AccountShare = {
 	readonly account: string;
 	readonly rateFraction: number;
 	readonly burstFraction: number;
-	/** Tokens moved to the receiver. */
+	/** Tokens moved from the pool to the receiver. */
 	readonly tokens: number;
-	/** Expected time until the pool has another token for the receiver, in milliseconds. */
+	/** Estimated time until the pool has another token for the receiver, in milliseconds. */
 	readonly nextTokenMs: number;
 };
 
-/** A grant that may still be in use, as one allocator tells its successor. */
+/** A grant that may still be in use, as handed over to the next allocator. */
 export type GrantState = {
-	/** VM and incarnation of the holder. */
+	/** VM and incarnation of the VM that holds the grant. */
 	readonly holder: string;
 	readonly sequence: number;
 	readonly expiresInMs: number;
 	readonly accounts: readonly AccountShare[];
 };
 
-/** Everything that a successor has to know of an allocator. */
+/** State that an allocator hands over to its successor. */
 export type AllocatorState = {
 	readonly sequence: number;
 	readonly pools: ReadonlyArray<{readonly account: string; readonly level: number}>;
 	readonly grants: readonly GrantState[];
 };
 
-/** Shares granted to one VM for a time. */
+/** Shares granted to one VM for a limited time. */
 export type ShareGrant = {
 	readonly sequence: number;
-	/** Time that the shares may be used, from the sending of the report. */
+	/** Time for which the shares may be used, in milliseconds from when the report was sent. */
 	readonly validMs: number;
 	readonly accounts: readonly AccountShare[];
 };
--- a/packages/decisions/src/limits/sliding-window-counter.ts
+++ b/packages/decisions/src/limits/sliding-window-counter.ts
@@ -1,22 +1,22 @@
-/** Parts of a window in which operations are counted together. */
+/** Slots of a window; operations in the same slot are counted together. */
 const slotsPerWindow = 50;
 
-/** One part more than a window has: the oldest has not left it as a whole. */
+/** One slot more than a window has, as the oldest one is only partly outside the window. */
 const slotCount = slotsPerWindow + 1;
 
-/** Counts operations over a window that slides. */
+/** Counts operations in a sliding window. */
 export class SlidingWindowCounter {
 	readonly #counts = Array.from({length: slotCount}, () => 0);
 	readonly #slotMs: number;
 	#newestSlot = Number.NEGATIVE_INFINITY;
 	#sum = 0;
 
-	/** @param windowMs - Length of the window, milliseconds. */
+	/** @param windowMs - Length of the window, in milliseconds. */
 	constructor(private readonly windowMs: number) {
 		this.#slotMs = windowMs / slotsPerWindow;
 	}
 
-	/** Takes in operations; a negative number takes back what was counted lately. */
+	/** Adds operations; a negative count takes back recent ones, but never below zero in the window. */
 	add(count: number, now: number): void {
 		this.#advance(now);
 		const index = this.#newestSlot % slotCount;
@@ -25,7 +25,7 @@
 		this.#sum += added;
 	}
 
-	/** Takes in operations as if they were spread over the whole window before now. */
+	/** Adds operations as if they were spread evenly over the window that ends now. */
 	addEvenly(count: number, now: number): void {
 		this.#advance(now);
 		for (let index = 0; index < slotCount; index++) {
@@ -35,7 +35,7 @@
 		this.#sum += count;
 	}
 
-	/** Counts what is in the window as a part of it. */
+	/** Multiplies the counts in the window by a factor. */
 	scale(factor: number): void {
 		for (const [index, count] of this.#counts.entries()) {
 			this.#counts[index] = count * factor;
@@ -44,31 +44,31 @@
 		this.#sum *= factor;
 	}
 
-	/** Returns the operations in the window that ends now. */
+	/** Returns the number of operations in the window that ends now. */
 	getCount(now: number): number {
 		this.#advance(now);
 		return this.#sum;
 	}
 
-	/** Returns the time until at most a number of operations is in the window, milliseconds. */
-	getWaitMs(most: number, now: number): number {
+	/** Returns the time until at most `maxCount` operations are in the window, in milliseconds. */
+	getWaitMs(maxCount: number, now: number): number {
 		this.#advance(now);
-		let left = this.#sum;
-		for (let age = slotCount - 1; age >= 0 && left > most; age--) {
-			left -= this.#counts[(this.#newestSlot - age + slotCount) % slotCount]!;
-			if (left <= most) {
+		let remaining = this.#sum;
+		for (let age = slotCount - 1; age >= 0 && remaining > maxCount; age--) {
+			remaining -= this.#counts[(this.#newestSlot - age + slotCount) % slotCount]!;
+			if (remaining <= maxCount) {
 				return Math.max(1, ((this.#newestSlot + slotCount - age) * this.#slotMs) - now);
 			}
 		}
 
-		return left > most ? this.windowMs : 0;
+		return remaining > maxCount ? this.windowMs : 0;
 	}
 
 	#advance(now: number): void {
 		const slot = Math.max(this.#newestSlot, Math.floor(now / this.#slotMs));
 		const first = Math.max(this.#newestSlot + 1, slot - slotCount + 1);
-		for (let passed = first; passed <= slot; passed++) {
-			const index = ((passed % slotCount) + slotCount) % slotCount;
+		for (let clearedSlot = first; clearedSlot <= slot; clearedSlot++) {
+			const index = ((clearedSlot % slotCount) + slotCount) % slotCount;
 			this.#sum -= this.#counts[index]!;
 			this.#counts[index] = 0;
 		}
--- a/packages/decisions/src/limits/sliding-window-limiter.ts
+++ b/packages/decisions/src/limits/sliding-window-limiter.ts
@@ -3,24 +3,27 @@
 
 const msPerSecond = 1000;
 
-/** Returns the operations that a limit allows in one window. */
+/** Returns the number of operations that a limit allows in one window. */
 export function countAllowedPerWindow({ratePerS, burst}: RateLimit, windowMs: number): number {
 	return ((ratePerS * windowMs) / msPerSecond) + burst;
 }
 
 /**
- * Admits what a limit allows in every window: its rate over the window and its burst on top. An account that presses
- * for long gets that evenly and not in spurts, as a bucket of the same depth refills at the pace of the window.
+ * Admits at most rate times window plus burst operations in every window. An account with sustained demand gets
+ * them evenly and not in bursts, as a bucket of the same burst refills at the average rate of the window.
  */
 export class SlidingWindowLimiter {
 	readonly #counter: SlidingWindowCounter;
 	readonly #bucket: TokenBucket;
-	/** Operations in a window by the limit, and what is left of them beside others. */
+	/** Operations per window under the limit. */
 	#allowedPerWindow: number;
+	/** The same without the operations reserved for others. */
 	#maxPerWindow: number;
 
 	/**
-	 * @param windowMs - Window over which the limit holds, milliseconds.
+	 * @param limit - Initial limit.
+	 * @param windowMs - Window over which the limit holds, in milliseconds.
+	 * @param now - Monotonic time in milliseconds.
 	 */
 	constructor(limit: RateLimit, private readonly windowMs: number, now: number) {
 		this.#allowedPerWindow = countAllowedPerWindow(limit, windowMs);
@@ -30,8 +33,8 @@
 	}
 
 	/**
-	 * Takes in that others may have used the limit before: all but the burst counts as used, evenly, over the last window.
-	 * @param tokens - Operations that are allowed at once all the same.
+	 * Assumes that a predecessor used the limit: all but the burst counts as used, spread evenly over the last window.
+	 * @param tokens - Operations that are still allowed at once.
 	 */
 	assumePriorUsage({burst}: RateLimit, tokens: number, now: number): void {
 		this.#counter.addEvenly(Math.max(0, this.#maxPerWindow - burst), now);
@@ -40,26 +43,26 @@
 	}
 
 	/**
-	 * Changes the limit.
-	 * @param reserved - Operations of each window that others may use without asking.
-	 * @param leastPart - Part of the limit that is never reserved.
+	 * Sets the limit.
+	 * @param reserved - Operations per window that others may use without requesting tokens.
+	 * @param minFraction - Fraction of the limit that is never reserved.
 	 */
-	setLimit(limit: RateLimit, reserved: number, leastPart: number, now: number): void {
+	setLimit(limit: RateLimit, reserved: number, minFraction: number, now: number): void {
 		const allowed = countAllowedPerWindow(limit, this.windowMs);
 		if (allowed < this.#allowedPerWindow) {
-			// What was used while more was allowed does not lock the account out of what is allowed now.
+			// Operations admitted under the higher limit must not block the account under the lower one.
 			this.#counter.scale(allowed / this.#allowedPerWindow);
 		}
 
 		this.#allowedPerWindow = allowed;
-		this.#maxPerWindow = Math.max(allowed * leastPart, allowed - reserved);
+		this.#maxPerWindow = Math.max(allowed * minFraction, allowed - reserved);
 		this.#bucket.setLimit(this.#createBucketLimit(limit, this.#maxPerWindow), now);
 	}
 
-	/** Takes the right to one operation, if there is one. */
+	/** Takes a token for one operation; returns false if the limit is reached. */
 	takeToken(now: number): boolean {
 		if (this.#counter.getCount(now) + 1 > this.#maxPerWindow) {
-			// Who presses on goes on at the pace of the window, not with another burst.
+			// An account that keeps asking continues at the average rate of the window, without another burst.
 			this.#bucket.clear(now);
 			return false;
 		}
@@ -72,17 +75,17 @@
 		return true;
 	}
 
-	/** Returns the part of the burst that is there. */
+	/** Returns the available tokens as a fraction of the burst, zero if the window is full. */
 	getFillRatio(now: number): number {
 		return this.#counter.getCount(now) + 1 > this.#maxPerWindow ? 0 : this.#bucket.getFillRatio(now);
 	}
 
-	/** Returns the time until an operation is allowed, milliseconds. */
+	/** Returns the time until an operation is allowed, in milliseconds. */
 	getWaitMs(now: number): number {
 		return Math.max(this.#bucket.getWaitMs(now), this.#counter.getWaitMs(this.#maxPerWindow - 1, now));
 	}
 
-	#createBucketLimit({burst}: RateLimit, most: number): RateLimit {
-		return {ratePerS: (most * msPerSecond) / this.windowMs, burst};
+	#createBucketLimit({burst}: RateLimit, maxPerWindow: number): RateLimit {
+		return {ratePerS: (maxPerWindow * msPerSecond) / this.windowMs, burst};
 	}
 }
--- a/packages/decisions/src/limits/token-bucket.ts
+++ b/packages/decisions/src/limits/token-bucket.ts
@@ -1,4 +1,4 @@
-/** Rate and burst of a bucket. */
+/** Rate in operations per second, and burst. */
 export type RateLimit = {
 	readonly ratePerS: number;
 	readonly burst: number;
@@ -6,21 +6,22 @@
 
 const msPerSecond = 1000;
 
-/** Counts operations against a rate that may change. */
+/** Token bucket whose limit may change. */
 export class TokenBucket {
 	#tokens: number;
 	#updatedAt: number;
 
 	/**
-	 * @param limit - Rate and burst to begin with.
-	 * @param tokens - Tokens to begin with: a process that just started does not know what its predecessor used.
+	 * @param limit - Initial limit.
+	 * @param tokens - Initial tokens; less than the burst where a process does not know what its predecessor used.
+	 * @param now - Monotonic time in milliseconds.
 	 */
 	constructor(private limit: RateLimit, tokens: number, now: number) {
 		this.#tokens = tokens;
 		this.#updatedAt = now;
 	}
 
-	/** Changes the limit; tokens beyond the new burst are lost. */
+	/** Sets the limit and drops tokens above the new burst. */
 	setLimit(limit: RateLimit, now: number): void {
 		this.#refill(now);
 		this.limit = limit;
@@ -29,8 +30,8 @@
 
 	/**
 	 * Takes one token.
-	 * @param overdraft - Tokens that may be owed.
-	 * @returns Whether there was one.
+	 * @param overdraft - Tokens by which the level may fall below zero.
+	 * @returns Whether a token was taken.
 	 */
 	takeToken(now: number, overdraft: number): boolean {
 		this.#refill(now);
@@ -42,24 +43,24 @@
 		return true;
 	}
 
-	/** Puts tokens in, up to the burst. */
+	/** Adds tokens, up to the burst. */
 	addTokens(count: number): void {
 		this.#tokens = Math.min(this.limit.burst, this.#tokens + count);
 	}
 
-	/** Takes every token that is there. */
+	/** Removes all tokens; a negative level stays. */
 	clear(now: number): void {
 		this.#refill(now);
 		this.#tokens = Math.min(this.#tokens, 0);
 	}
 
-	/** Returns the part of the burst that is there. */
+	/** Returns the tokens as a fraction of the burst. */
 	getFillRatio(now: number): number {
 		this.#refill(now);
 		return this.limit.burst <= 0 ? 0 : this.#tokens / this.limit.burst;
 	}
 
-	/** Returns the time until a token is there, milliseconds. */
+	/** Returns the time until a token is available, in milliseconds. */
 	getWaitMs(now: number): number {
 		this.#refill(now);
 		return this.#tokens >= 1 || this.limit.ratePerS <= 0 ? 0 : ((1 - this.#tokens) / this.limit.ratePerS) * msPerSecond;
--- a/packages/decisions/src/limits/token-issuer.ts
+++ b/packages/decisions/src/limits/token-issuer.ts
@@ -1,22 +1,22 @@
 import {type RateLimit} from './token-bucket.js';
 import {countAllowedPerWindow, SlidingWindowLimiter} from './sliding-window-limiter.js';
 
-/** What a VM wants of one account's limit. */
+/** Tokens of one account that a VM requests. */
 export type TokenDemand = {
-	/** Operations that wait for a token now. */
+	/** Number of operations waiting for a token. */
 	readonly needed: number;
-	/** Tokens that would save the next question. */
+	/** Tokens requested in advance, which would save the next request. */
 	readonly extra: number;
 };
 
-/** Tokens that a VM was given. */
+/** Tokens granted to a VM. */
 export type TokenGrant = {
 	readonly count: number;
-	/** Time until there are more, milliseconds; zero where all that were needed were given. */
+	/** Time until more are available, in milliseconds; zero if all needed tokens were granted. */
 	readonly waitMs: number;
 };
 
-/** Who asks for tokens of which account. */
+/** Request of a VM for tokens of one account. */
 export type TokenRequest = {
 	readonly vm: string;
 	readonly account: string;
@@ -25,76 +25,77 @@
 	readonly limit: RateLimit;
 };
 
-/** Part of a burst that a new issuer begins with: it does not know what its predecessor gave. */
+/** Fraction of a burst that a new issuer starts with, as it does not know what its predecessor granted. */
 const initialBurstFraction = 0.3;
 
-/** Fill of a bucket above which tokens are given ahead of need. */
+/** Fill ratio of a bucket above which tokens are granted in advance. */
 const minPrefetchFillRatio = 0.5;
 
-/** Factor on what it used in the last window to which a VM goes on that cannot ask: the overage that deployments allow. */
+/** Factor applied to the usage of the last window for a VM that can't reach the issuer: the overage that deployments allow. */
 const isolatedUsageFactor = 1.1;
 
-/** Least part of a limit that is given out, however much silent VMs may use. */
+/** Minimum fraction of a limit that is granted, however much is reserved for silent VMs. */
 const minLimitFraction = 0.3;
 
-/** Time over which a VM's pace is averaged, milliseconds. */
+/** Time constant of the exponential average of a VM's usage, in milliseconds. */
 const usageTimeConstantMs = 3000;
 
 const msPerSecond = 1000;
 
-type UsageRate = {perSecond: number; at: number};
+type UsageRate = {perSecond: number; updatedAt: number};
 
 type AccountState = {
 	readonly limit: SlidingWindowLimiter;
-	/** What each VM was given lately. */
+	/** Average rate of tokens granted, by VM. */
 	readonly usageRates: Map<string, UsageRate>;
 };
 
-/** Who may go on without asking, as far as the issuer knows. */
+/** VMs that may admit operations without requesting tokens, as far as the issuer knows. */
 export type SilentMembers = {
-	/** VMs that are not heard and may live. */
+	/** VMs that have not been heard from but may be running. */
 	readonly silent: readonly string[];
-	/** VMs that share a limit, the silent ones included. */
+	/** Number of VMs that share a limit, including the silent ones. */
 	readonly members: number;
 };
 
 /**
- * Returns what a VM that cannot ask may use of a limit in a window: its even share, or what it used of late with the overage.
- * @param members - VMs that share the limit.
- * @param used - Operations that it used in the last window.
+ * Returns the number of operations that a VM that can't reach the issuer may admit in a window:
+ * its even share of the limit, or its recent usage plus the allowed overage if that is more.
+ * @param members - Number of VMs that share the limit.
+ * @param used - Operations that the VM admitted in the last window.
  */
 export function countAllowedInIsolation(limit: RateLimit, windowMs: number, members: number, used: number): number {
 	return Math.max(countAllowedPerWindow(limit, windowMs) / Math.max(1, members), used * isolatedUsageFactor);
 }
 
-/** Gives out the operations of each account to the VMs. */
+/** Grants the operations that each account's limit allows to the VMs. */
 export class TokenIssuer {
 	readonly #accounts = new Map<string, AccountState>();
 
-	/** @param windowMs - Window over which limits hold, milliseconds. */
+	/** @param windowMs - Window over which limits hold, in milliseconds. */
 	constructor(private readonly windowMs: number) {}
 
 	/**
-	 * Gives tokens to a VM.
-	 * @param silence - VMs that may go on without asking, see {@link countAllowedInIsolation}.
-	 * @param now - Steady time in milliseconds.
+	 * Grants tokens to a VM.
+	 * @param silentMembers - VMs that may admit operations without requesting tokens, see {@link countAllowedInIsolation}.
+	 * @param now - Monotonic time in milliseconds.
 	 */
-	grantTokens({vm, account, demand: want, limit}: TokenRequest, silence: SilentMembers, now: number): TokenGrant {
-		const known = this.#accounts.get(account);
-		const state = known ?? this.#addAccount(account, limit, now);
-		state.limit.setLimit(limit, this.#countReserved(state, limit, silence), minLimitFraction, now);
-		if (known === undefined) {
+	grantTokens({vm, account, demand, limit}: TokenRequest, silentMembers: SilentMembers, now: number): TokenGrant {
+		const existing = this.#accounts.get(account);
+		const state = existing ?? this.#addAccount(account, limit, now);
+		state.limit.setLimit(limit, this.#countReserved(state, limit, silentMembers), minLimitFraction, now);
+		if (existing === undefined) {
 			state.limit.assumePriorUsage(limit, limit.burst * initialBurstFraction, now);
 		}
 
 		let count = 0;
-		while (count < want.needed && state.limit.takeToken(now)) {
+		while (count < demand.needed && state.limit.takeToken(now)) {
 			count += 1;
 		}
 
-		const isShort = count < want.needed;
-		const most = isShort ? count : want.needed + want.extra;
-		while (count < most && state.limit.getFillRatio(now) > minPrefetchFillRatio && state.limit.takeToken(now)) {
+		const isShort = count < demand.needed;
+		const maxCount = isShort ? count : demand.needed + demand.extra;
+		while (count < maxCount && state.limit.getFillRatio(now) > minPrefetchFillRatio && state.limit.takeToken(now)) {
 			count += 1;
 		}
 
@@ -102,10 +103,10 @@
 		return {count, waitMs: isShort ? Math.max(1, state.limit.getWaitMs(now)) : 0};
 	}
 
-	/** Forgets the pace of a VM whose process began anew. */
+	/** Drops the usage of a VM whose process restarted. */
 	removeVm(vm: string): void {
-		for (const {usageRates: paces} of this.#accounts.values()) {
-			paces.delete(vm);
+		for (const {usageRates} of this.#accounts.values()) {
+			usageRates.delete(vm);
 		}
 	}
 
@@ -115,7 +116,7 @@
 		return state;
 	}
 
-	/** Returns the operations of a window that VMs may use which cannot ask now. */
+	/** Returns the number of operations per window reserved for silent VMs. */
 	#countReserved(state: AccountState, limit: RateLimit, {silent, members}: SilentMembers): number {
 		let reserved = 0;
 		for (const vm of silent) {
@@ -126,9 +127,9 @@
 	}
 }
 
-/** Takes in operations into an average that decays with time. */
-export function recordUsage(paces: Map<string, UsageRate>, key: string, count: number, now: number): void {
-	const pace = paces.get(key) ?? {perSecond: 0, at: now};
-	const kept = Math.exp(-(now - pace.at) / usageTimeConstantMs);
-	paces.set(key, {perSecond: (pace.perSecond * kept) + ((count * msPerSecond) / usageTimeConstantMs), at: now});
+/** Adds operations to the exponential average of a key. */
+export function recordUsage(usageRates: Map<string, UsageRate>, key: string, count: number, now: number): void {
+	const rate = usageRates.get(key) ?? {perSecond: 0, updatedAt: now};
+	const decay = Math.exp(-(now - rate.updatedAt) / usageTimeConstantMs);
+	usageRates.set(key, {perSecond: (rate.perSecond * decay) + ((count * msPerSecond) / usageTimeConstantMs), updatedAt: now});
 }
--- a/packages/decisions/src/tests/limits/limit-simulation.ts
+++ b/packages/decisions/src/tests/limits/limit-simulation.ts
@@ -3,49 +3,51 @@
 	AdmissionControl, type DemandReport, ShareAllocator, type ShareGrant,
 } from '../../index.js';
 
-/** What happens to the simulated VMs. */
+/** Load and faults of a simulation. */
 export type LimitSimulationOptions = {
 	readonly limits: AccountLimits;
 	readonly vms: number;
-	/** Offered calls of each VM, a second. */
+	/** Offered requests per second, by VM. */
 	readonly demand: readonly number[];
 	readonly durationMs: number;
-	/** Time before the first call, in which the pool fills. */
+	/** Time before the first request, in which the pool fills, in milliseconds. */
 	readonly quietMs?: number;
-	/** Returns a number from zero up to one. */
+	/** Returns a random number, at least zero and less than one. */
 	getRandom(): number;
-	/** Share of messages that are lost. */
+	/** Fraction of messages that are lost. */
 	readonly loss?: number;
 	/** Whether a VM is paused at a time. */
 	isPaused?(vm: number, now: number): boolean;
-	/** Limits in force at a VM, where they change. */
+	/** Active limits at a VM, where they change. */
 	getLimitsAt?(vm: number, now: number): AccountLimits;
 };
 
-/** An admitted call and when. */
+/** An admitted request. */
 export type Admission = {readonly at: number; readonly vm: number};
 
-export type LimitSimulationResult = {readonly admitted: Admission[]; readonly refused: number; readonly refusedInside: number; readonly offeredInside: number; readonly reports: number};
+/** Outcome of a simulation; `WithinLimit` counts requests that one exact token bucket would admit. */
+export type LimitSimulationResult = {readonly admitted: Admission[]; readonly refused: number; readonly refusedWithinLimit: number; readonly offeredWithinLimit: number; readonly reports: number};
 
 type Message = {readonly at: number; deliver(now: number): void};
 
 const stepMs = 2;
+/** Minimum delay of a message, and range of the random delay on top. */
 const delayMs = 2;
-/** Time after which a report counts as lost. */
+/** Time after which a report counts as lost, in milliseconds. */
 const timeoutMs = 400;
 const account = 'a';
 
-/** Runs holders of shares against one allocator in virtual time. */
+/** Runs one admission control per VM against one allocator in virtual time. */
 export function simulateLimits(options: LimitSimulationOptions): LimitSimulationResult {
 	const {limits, getRandom, loss = 0} = options;
 	let now = 0;
 	let messages: Message[] = [];
 	const admitted: Admission[] = [];
 	const result = {
-		refused: 0, refusedInside: 0, offeredInside: 0, reports: 0,
+		refused: 0, refusedWithinLimit: 0, offeredWithinLimit: 0, reports: 0,
 	};
-	const inside = new Set<number>();
-	const ideal = {tokens: limits.burst, at: 0};
+	const withinLimit = new Set<number>();
+	const exactBucket = {tokens: limits.burst, at: 0};
 	const getLimits = (vm: number) => options.getLimitsAt?.(vm, now) ?? limits;
 	const allocator = new ShareAllocator(0, () => getLimits(0));
 	const nodes = Array.from({length: options.vms}, (_, vm) => ({
@@ -53,7 +55,7 @@
 	}));
 	let nextId = 1;
 
-	const send = (deliver: (at: number) => void) => {
+	const sendMessage = (deliver: (at: number) => void) => {
 		if (getRandom() >= loss) {
 			messages.push({at: now + delayMs + (getRandom() * delayMs), deliver});
 		}
@@ -66,11 +68,11 @@
 		node.sentAt = now;
 		result.reports += 1;
 		const {reportId, sentAt} = node;
-		send(at => {
+		sendMessage(at => {
 			const grant: ShareGrant = allocator.createGrant(report, Number.POSITIVE_INFINITY, at);
 			const receive = (arrived: number) => {
 				if (options.isPaused?.(node.vm, arrived)) {
-					// What reaches a paused process is read when it wakes.
+					// A paused process reads its messages when it resumes.
 					messages.push({at: arrived + stepMs, deliver: receive});
 				} else if (node.outstanding === reportId) {
 					node.admission.applyGrant(grant, sentAt, isPartial, arrived);
@@ -78,37 +80,37 @@
 				}
 			};
 
-			send(receive);
+			sendMessage(receive);
 		});
 	};
 
-	const decide = (node: (typeof nodes)[number], decisions: ReturnType<AdmissionControl['processWaiters']>) => {
+	const recordDecisions = (node: (typeof nodes)[number], decisions: ReturnType<AdmissionControl['processWaiters']>) => {
 		for (const decision of decisions) {
 			if (decision.kind === 'admitted') {
 				admitted.push({at: now, vm: node.vm});
 			} else {
 				result.refused += 1;
-				result.refusedInside += inside.has(decision.id) ? 1 : 0;
+				result.refusedWithinLimit += withinLimit.has(decision.id) ? 1 : 0;
 			}
 		}
 	};
 
-	const offer = (node: (typeof nodes)[number]) => {
-		ideal.tokens = Math.min(limits.burst, ideal.tokens + (((now - ideal.at) / 1000) * limits.rate));
-		ideal.at = now;
+	const offerRequest = (node: (typeof nodes)[number]) => {
+		exactBucket.tokens = Math.min(limits.burst, exactBucket.tokens + (((now - exactBucket.at) / 1000) * limits.rate));
+		exactBucket.at = now;
 		const id = nextId;
 		nextId += 1;
-		if (ideal.tokens >= 1) {
-			ideal.tokens -= 1;
-			inside.add(id);
-			result.offeredInside += 1;
+		if (exactBucket.tokens >= 1) {
+			exactBucket.tokens -= 1;
+			withinLimit.add(id);
+			result.offeredWithinLimit += 1;
 		}
 
 		const decision = node.admission.requestAdmission(id, account, now + 5000, now);
-		decide(node, decision === undefined ? [] : [decision]);
+		recordDecisions(node, decision === undefined ? [] : [decision]);
 	};
 
-	const deliverDue = () => {
+	const deliverMessages = () => {
 		const due = messages.filter(message => message.at <= now);
 		messages = messages.filter(message => message.at > now);
 		for (const message of due) {
@@ -116,15 +118,15 @@
 		}
 	};
 
-	const advanceNode = (node: (typeof nodes)[number]) => {
+	const runStep = (node: (typeof nodes)[number]) => {
 		const demand = now < (options.quietMs ?? 0) ? 0 : options.demand[node.vm]!;
-		for (let rest = (demand * stepMs) / 1000; rest > 0; rest -= 1) {
-			if (getRandom() < rest) {
-				offer(node);
+		for (let remaining = (demand * stepMs) / 1000; remaining > 0; remaining -= 1) {
+			if (getRandom() < remaining) {
+				offerRequest(node);
 			}
 		}
 
-		decide(node, node.admission.processWaiters(now));
+		recordDecisions(node, node.admission.processWaiters(now));
 		if (node.outstanding !== 0 && now - node.sentAt > timeoutMs) {
 			node.outstanding = 0;
 		}
@@ -136,10 +138,10 @@
 	};
 
 	for (; now < options.durationMs; now += stepMs) {
-		deliverDue();
+		deliverMessages();
 		for (const node of nodes) {
 			if (!options.isPaused?.(node.vm, now)) {
-				advanceNode(node);
+				runStep(node);
 			}
 		}
 	}
@@ -147,16 +149,16 @@
 	return {admitted, ...result};
 }
 
-/** Returns by how much the worst window exceeds burst plus rate times its length; at most zero is right. */
+/** Returns the maximum over all windows of the admissions above burst plus rate times the window's length; must not be positive. */
 export function getMaxExcess(admitted: readonly Admission[], {rate, burst}: AccountLimits): number {
-	let worst = Number.NEGATIVE_INFINITY;
+	let maxExcess = Number.NEGATIVE_INFINITY;
 	// The excess of a window from i to j is f(j) - f(i) + 1 - burst, with f(i) = i - rate * at(i).
-	let least = Number.POSITIVE_INFINITY;
+	let minLevel = Number.POSITIVE_INFINITY;
 	for (const [index, {at}] of admitted.entries()) {
 		const level = index - ((rate * at) / 1000);
-		least = Math.min(least, level);
-		worst = Math.max(worst, level - least + 1 - burst);
+		minLevel = Math.min(minLevel, level);
+		maxExcess = Math.max(maxExcess, level - minLevel + 1 - burst);
 	}
 
-	return worst;
+	return maxExcess;
 }
