--- a/packages/decisions/src/leases/dual-clock-lease.ts
+++ b/packages/decisions/src/leases/dual-clock-lease.ts
@@ -1,24 +1,24 @@
-/** A moment on both clocks of a VM, milliseconds. */
+/** Reading of both clocks of a VM, in milliseconds. */
 export type ClockReading = {
-	/** Steady clock; it stands still while a VM is suspended. */
+	/** Monotonic clock, which stops while the VM is suspended. */
 	readonly monotonicMs: number;
-	/** Time of day; it may jump, and counts suspensions. */
+	/** Wall clock, which includes suspensions and may jump. */
 	readonly wallMs: number;
 };
 
 /**
- * A right to act until a time after its last confirmation.
- * It ends when either clock says so: a jump of the time of day can only end it early.
+ * Lease that is valid for a fixed time after its last renewal.
+ * It expires as soon as either clock exceeds that time, so a jump of the wall clock can only end it early.
  */
 export class DualClockLease {
 	#renewedAt: ClockReading | undefined;
 
-	/** @param durationMs - Time for which a confirmation holds. */
+	/** @param durationMs - Validity of a renewal, in milliseconds. */
 	constructor(readonly durationMs: number) {}
 
 	/**
-	 * Takes in a confirmation.
-	 * @param at - Moment at which the confirmation was asked for.
+	 * Renews the lease, unless a later renewal is already in effect.
+	 * @param at - Time at which the renewal was requested.
 	 */
 	renew(at: ClockReading): void {
 		if (this.#renewedAt === undefined || at.monotonicMs > this.#renewedAt.monotonicMs) {
@@ -30,7 +30,7 @@
 		return this.getRemainingMs(now) > 0;
 	}
 
-	/** Returns the time that is left by the stricter of both clocks. */
+	/** Returns the time until the lease expires by the stricter of both clocks, in milliseconds; zero if it is not held. */
 	getRemainingMs(now: ClockReading): number {
 		if (this.#renewedAt === undefined || now.wallMs < this.#renewedAt.wallMs) {
 			return 0;
@@ -40,7 +40,7 @@
 		return Math.max(0, this.durationMs - elapsed);
 	}
 
-	/** Ends the lease at once. */
+	/** Ends the lease. */
 	release(): void {
 		this.#renewedAt = undefined;
 	}
--- a/packages/decisions/src/leases/lease-candidate.ts
+++ b/packages/decisions/src/leases/lease-candidate.ts
@@ -1,23 +1,25 @@
-/** Returns how many of a number of voters make a majority. */
-export function getMajority(voters: number): number {
-	return Math.floor(voters / 2) + 1;
+/** Returns the size of a majority of the voters. */
+export function getMajority(voterCount: number): number {
+	return Math.floor(voterCount / 2) + 1;
 }
 
-/** One round of asking every voter for a promise. */
+/** One round of promise requests to every voter. */
 export type LeaseRound = {
 	readonly term: number;
+	/** Time at which the round started; a lease counts from then. */
 	readonly sentAt: number;
 };
 
-/** Timing of a lease. */
+/** Timing of a lease, in milliseconds. */
 export type LeaseTiming = {
 	readonly durationMs: number;
+	/** Interval of renewals. */
 	readonly renewalMs: number;
-	/** Time between the attempts of candidates of neighbouring ranks. */
+	/** Delay per rank of a candidate, which avoids competing rounds. */
 	readonly staggerMs: number;
 };
 
-/** Seeks a lease from a majority of the voters and keeps it. */
+/** Acquires a lease from a majority of the voters and renews it. */
 export class LeaseCandidate {
 	#term = 0;
 	#heldUntil = Number.NEGATIVE_INFINITY;
@@ -37,29 +39,30 @@
 		return this.#heldUntil;
 	}
 
+	/** Says whether this candidate holds the lease. */
 	isHeld(now: number): boolean {
 		return now < this.#heldUntil;
 	}
 
-	/** Takes in that the lease is, or is not, held by another. */
+	/** Records whether the lease is vacant. */
 	observeVacancy(isVacant: boolean, now: number): void {
 		this.#vacantSince = isVacant ? this.#vacantSince ?? now : undefined;
 	}
 
-	/** Says whether there may be a round to start. */
+	/** Says whether a round may be due; whether it starts depends on the candidate's rank. */
 	isRoundDue(now: number): boolean {
 		return now >= this.#nextAttemptAt && (this.isHeld(now) || this.#vacantSince !== undefined);
 	}
 
 	/**
-	 * Starts a round when one is due.
-	 * @param rank - Place of this VM among the live candidates, zero for the first.
+	 * Starts a round if one is due.
+	 * @param rank - Rank of this VM among the live candidates, zero for the first.
 	 * @param now - Monotonic time in milliseconds.
-	 * @returns The round to ask promises for.
+	 * @returns The round to request promises for, undefined if none is due.
 	 */
 	startRound(rank: number, now: number): LeaseRound | undefined {
-		const isMyTurn = this.#vacantSince !== undefined && now >= this.#vacantSince + (rank * this.timing.staggerMs);
-		if (now < this.#nextAttemptAt || (!this.isHeld(now) && !isMyTurn)) {
+		const isRankDue = this.#vacantSince !== undefined && now >= this.#vacantSince + (rank * this.timing.staggerMs);
+		if (now < this.#nextAttemptAt || (!this.isHeld(now) && !isRankDue)) {
 			return undefined;
 		}
 
@@ -74,8 +77,8 @@
 	}
 
 	/**
-	 * Takes in one voter's promise.
-	 * @returns Whether this promise completed a majority.
+	 * Records the promise of one voter; a majority extends the lease.
+	 * @returns Whether this promise completed the majority.
 	 */
 	observePromise(round: LeaseRound, voter: string, voters: readonly string[]): boolean {
 		if (round !== this.#round || !voters.includes(voter)) {
@@ -91,26 +94,26 @@
 		return true;
 	}
 
-	/** Takes in that a voter has promised the lease to another for some time: until then there is no use in asking. */
+	/** Records that a voter has promised the lease to another candidate, and delays the next attempt until that promise expires. */
 	observeRefusal(remainingMs: number, now: number): void {
 		if (!this.isHeld(now)) {
 			this.#nextAttemptAt = Math.max(this.#nextAttemptAt, now + Math.min(remainingMs, this.timing.durationMs));
 		}
 	}
 
-	/** Starts a round at once, whatever was refused before: the holder itself has offered the lease. */
+	/** Starts a round regardless of earlier refusals, as the holder has offered the lease to this candidate. */
 	startTakeoverRound(now: number): LeaseRound {
 		this.#nextAttemptAt = now;
 		this.#vacantSince = now;
 		return this.startRound(0, now)!;
 	}
 
-	/** Takes in a term that another candidate has reached. */
+	/** Adopts the term of another candidate if it is higher. */
 	observeTerm(term: number): void {
 		this.#term = Math.max(this.#term, term);
 	}
 
-	/** Ends the lease at once. */
+	/** Ends the lease and the current round. */
 	releaseLease(now: number): void {
 		this.#heldUntil = now;
 		this.#round = undefined;
--- a/packages/decisions/src/leases/lease-voter.ts
+++ b/packages/decisions/src/leases/lease-voter.ts
@@ -1,28 +1,29 @@
-/** A request for, or the renewal of, a promise. */
+/** Request for a promise or for its renewal. */
 export type PromiseRequest = {
 	/** VM and incarnation of the candidate. */
 	readonly holder: string;
 	readonly term: number;
 	readonly durationMs: number;
-	/** Holder that handed the lease over to the candidate, empty for none. */
+	/** Previous holder that handed the lease over to the candidate, empty for none. */
 	readonly predecessor: string;
 };
 
-/** Answer to a request for a promise. */
+/** Response to a promise request. */
 export type PromiseAnswer = {
 	readonly promised: boolean;
 	/** Holder of the promise in force, empty for none. */
 	readonly holder: string;
 	readonly term: number;
+	/** Time until a promise to another candidate is possible, in milliseconds. */
 	readonly remainingMs: number;
 };
 
-/** Allowance for clocks that run at different speeds, as a share of a duration. */
+/** Assumed maximum difference in speed between the clocks of two VMs, as a fraction of a duration. */
 export const maxClockDriftFraction = 0.01;
 
 /**
  * Promises a lease to one holder at a time.
- * A voter that has just started has forgotten its promises and makes none for one lease.
+ * After a restart it has lost its promises and makes none for the duration of one lease.
  */
 export class LeaseVoter {
 	#holder = '';
@@ -31,7 +32,7 @@
 
 	/**
 	 * @param startedAt - Time at which this process started.
-	 * @param maxLeaseMs - Longest duration that any candidate asks for.
+	 * @param maxLeaseMs - Maximum duration that any candidate requests, in milliseconds.
 	 */
 	constructor(private readonly startedAt: number, private readonly maxLeaseMs: number) {}
 
@@ -44,12 +45,12 @@
 		return this.#term;
 	}
 
-	/** Promises the lease, or says who holds it. */
+	/** Promises the lease to the candidate, or returns the holder of the promise in force. */
 	handlePromiseRequest(request: PromiseRequest, now: number): PromiseAnswer {
-		const quietMs = this.startedAt + (this.maxLeaseMs * (1 + maxClockDriftFraction)) - now;
-		if (quietMs > 0) {
+		const startupDelayMs = this.startedAt + (this.maxLeaseMs * (1 + maxClockDriftFraction)) - now;
+		if (startupDelayMs > 0) {
 			return {
-				promised: false, holder: '', term: this.#term, remainingMs: quietMs,
+				promised: false, holder: '', term: this.#term, remainingMs: startupDelayMs,
 			};
 		}
 
@@ -64,7 +65,7 @@
 		return this.#createResponse(true, now);
 	}
 
-	/** Ends the promise to a holder that has given the lease up. */
+	/** Ends the promise to a holder that released the lease. */
 	release(holder: string): void {
 		if (this.#holder === holder) {
 			this.#promisedUntil = Number.NEGATIVE_INFINITY;
