--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -3,31 +3,31 @@
 import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {type Clock} from '../ports/index.js';
 
-/** Who leads a group. `closing` means that its primary may no longer be used. */
+/** Term of a group and its primary. In phase `closing` the primary may no longer be used. */
 export type GroupTerm = {
 	readonly group: string;
 	readonly term: number;
 	readonly primaryId: string;
 	readonly phase: 'open' | 'closing';
-	/** Time for which writes that are under way may still end when the term closes, milliseconds. */
+	/** How long pending writes may still complete once the term closes, in milliseconds. */
 	readonly drainMs: number;
-	/** Version of the row in the store; a higher one is newer. */
+	/** Version of the row in the store; higher is newer. */
 	readonly revision: number;
 };
 
-/** Time for which a confirmation that no term was closed holds, milliseconds: four heartbeats may be lost. */
+/** Duration of the term lease, which confirms that no known term was closed, in milliseconds: almost four heartbeat intervals. */
 export const termLeaseMs = 1500;
 
-/** Time for which a statement waits for a lease that ended, milliseconds: a clock jump ends one until the next heartbeat. */
+/** How long a statement waits for an ended lease to be regained, in milliseconds: a clock jump ends the lease until the next heartbeat. */
 const leaseWaitTimeoutMs = 400;
 
-/** Interval at which such a statement looks, milliseconds. */
+/** Interval at which a waiting statement checks the lease, in milliseconds. */
 const leasePollIntervalMs = 10;
 
-/** Largest staleness for which positions are kept, milliseconds. */
+/** Maximum staleness for which positions are kept, in milliseconds. */
 const positionRetentionMs = 5000;
 
-/** Knows who leads each group, and whether that may be relied on at this moment. */
+/** Tracks the term of each group, and the lease under which the known terms may be relied on. */
 export class TermRegistry {
 	readonly #terms = new Map<string, GroupTerm>();
 	readonly #closingSince = new Map<string, number>();
@@ -50,7 +50,7 @@
 		this.#changeListeners.push(listener);
 	}
 
-	/** Called whenever the lease was confirmed after it had ended. */
+	/** Adds a listener that is called whenever the lease is regained after it had ended. */
 	onLeaseRegained(listener: () => void): void {
 		this.#leaseRegainedListeners.push(listener);
 	}
@@ -63,7 +63,7 @@
 		return [...this.#terms.values()];
 	}
 
-	/** Returns since when a group's term is closing, steady milliseconds. */
+	/** Returns the monotonic time at which a group's term began to close, in milliseconds, or undefined if it is open. */
 	getClosingSince(group: string): number | undefined {
 		return this.#closingSince.get(group);
 	}
@@ -76,7 +76,7 @@
 		return this.#lease.isHeld(this.getClockReading());
 	}
 
-	/** Logs once that the lease ran out. */
+	/** Logs the end of the lease, once each time. */
 	logLeaseLoss(): void {
 		const isHeld = this.isLeaseHeld();
 		if (this.#wasLeaseHeld && !isHeld) {
@@ -86,7 +86,7 @@
 		this.#wasLeaseHeld = isHeld;
 	}
 
-	/** Returns for how long the lease has not been held, milliseconds; from the start of the process where it never was. */
+	/** Returns how long the lease has not been held, in milliseconds, counted from the start of the process if it never was. */
 	getMsWithoutLease(): number {
 		return this.isLeaseHeld() ? 0 : Math.max(0, this.clock.now() - Math.max(this.#startedAt, this.#leaseRenewedAt + termLeaseMs));
 	}
@@ -96,8 +96,8 @@
 	}
 
 	/**
-	 * Takes in that the terms known here were the newest ones at a moment.
-	 * @param at - Moment at which that was asked for.
+	 * Renews the lease: the known terms were the newest ones at the given time.
+	 * @param at - Time at which the confirmation was requested.
 	 */
 	renewLease(at: ClockReading): void {
 		const wasHeld = this.isLeaseHeld();
@@ -111,7 +111,7 @@
 		}
 	}
 
-	/** Takes in a group's term, unless a newer one is known. */
+	/** Applies a group's term, unless the known one is as new or newer. */
 	applyTerm(term: GroupTerm): void {
 		const known = this.#terms.get(term.group);
 		if (known !== undefined && term.revision <= known.revision) {
@@ -138,24 +138,24 @@
 		}
 	}
 
-	/** Takes in that a write or a commit is sent to a group's primary. */
+	/** Counts a write or a commit that is sent to a group's primary as pending. */
 	beginWrite(group: string): void {
 		this.#pendingWriteCounts.set(group, (this.#pendingWriteCounts.get(group) ?? 0) + 1);
 	}
 
-	/** Takes in that a write or a commit has its outcome. */
+	/** Counts a write or a commit as done, once its outcome is known. */
 	endWrite(group: string): void {
 		this.#pendingWriteCounts.set(group, (this.#pendingWriteCounts.get(group) ?? 0) - 1);
 	}
 
-	/** Says whether this VM no longer acts by the former term of a group that is closing. */
+	/** Returns whether this VM no longer acts on the term that is closing: its pending writes are done, or the drain time has passed. */
 	isDrained(group: string): boolean {
 		const term = this.#terms.get(group);
-		const closedSince = this.#closingSince.get(group);
-		return term === undefined || closedSince === undefined || (this.#pendingWriteCounts.get(group) ?? 0) === 0 || this.clock.now() >= closedSince + term.drainMs;
+		const closingSince = this.#closingSince.get(group);
+		return term === undefined || closingSince === undefined || (this.#pendingWriteCounts.get(group) ?? 0) === 0 || this.clock.now() >= closingSince + term.drainMs;
 	}
 
-	/** Returns the newest revision of a group's term by which this VM acts wholly. */
+	/** Returns the newest revision of a group's term up to which this VM has no pending writes of an earlier phase, 0 if none. */
 	getDrainedRevision(group: string): number {
 		const term = this.#terms.get(group);
 		if (term === undefined || this.isDrained(group)) {
@@ -166,8 +166,8 @@
 	}
 
 	/**
-	 * Waits until it is certain that a write which a primary acknowledged is not lost to a successor.
-	 * @returns False when a successor may have been promoted before the write.
+	 * Waits until a write that the primary acknowledged cannot be missing from a successor.
+	 * @returns False if a successor may have been promoted before the write.
 	 */
 	async waitUntilWriteIsSafe(group: string, instanceId: string): Promise<boolean> {
 		const term = this.#terms.get(group);
@@ -175,20 +175,20 @@
 		return (isDraining && this.isLeaseHeld()) || this.waitUntilPrimaryIsUsable(group, instanceId);
 	}
 
-	/** Returns the instance that leads a group, if that is certain now. */
+	/** Returns the primary of a group if its term is open and the lease is held, otherwise undefined. */
 	getUsablePrimary(group: string): string | undefined {
 		const term = this.#terms.get(group);
 		return term?.phase === 'open' && this.isLeaseHeld() ? term.primaryId : undefined;
 	}
 
-	/** Says whether an instance may be used as a group's primary now. */
+	/** Returns whether an instance may be used as a group's primary now. */
 	isUsablePrimary(group: string, instanceId: string): boolean {
 		return this.getUsablePrimary(group) === instanceId;
 	}
 
 	/**
 	 * Waits until an instance may be used as a group's primary.
-	 * @returns False when it leads no more, or the lease was not regained in time.
+	 * @returns False if it is no longer the primary, or the lease was not regained in time.
 	 */
 	async waitUntilPrimaryIsUsable(group: string, instanceId: string): Promise<boolean> {
 		const deadline = this.clock.now() + leaseWaitTimeoutMs;
@@ -213,8 +213,8 @@
 	}
 
 	/**
-	 * Takes in a primary's position.
-	 * @param observedAt - Steady time at which the statement was sent, under a lease.
+	 * Records the log position of a group's primary; ignores one of another term.
+	 * @param observedAt - Monotonic time at which the statement was sent under a held lease, in milliseconds.
 	 */
 	recordPosition(group: string, position: LogPosition, observedAt: number): void {
 		if (position.term !== this.#terms.get(group)?.term) {
@@ -224,24 +224,24 @@
 		this.#getPositions(group).addSample({observedAt, position}, this.clock.now());
 	}
 
-	/** Returns the lowest position that covers every commit acknowledged before a time. */
+	/** Returns the lowest known position that covers every commit acknowledged before a monotonic time, in milliseconds. */
 	getPositionCovering(group: string, time: number): LogPosition | undefined {
 		return this.#positions.get(group)?.getPositionCovering(time);
 	}
 
-	/** Returns a group's newest known position with its age. */
+	/** Returns a group's newest known position and its age in milliseconds. */
 	getNewestPosition(group: string): {readonly position: LogPosition; readonly ageMs: number} | undefined {
 		const sample = this.#positions.get(group)?.getNewestSample();
 		return sample === undefined ? undefined : {position: sample.position, ageMs: this.clock.now() - sample.observedAt};
 	}
 
 	#getPositions(group: string): PositionHistory {
-		let log = this.#positions.get(group);
-		if (log === undefined) {
-			log = new PositionHistory(positionRetentionMs);
-			this.#positions.set(group, log);
+		let history = this.#positions.get(group);
+		if (history === undefined) {
+			history = new PositionHistory(positionRetentionMs);
+			this.#positions.set(group, history);
 		}
 
-		return log;
+		return history;
 	}
 }
