--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -22,61 +22,61 @@
 } from './shared-rows.js';
 import {TokenClient} from './token-client.js';
 
-/** Interval of the loop, milliseconds. */
+/** Interval of the main loop, in milliseconds. */
 const tickIntervalMs = 50;
 
-/** Interval of heartbeats, milliseconds: a term lease spans several. */
+/** Interval between heartbeats, in milliseconds: a term lease spans several. */
 const heartbeatIntervalMs = 400;
 
-/** Least time between two heartbeats, milliseconds. */
+/** Minimum interval between heartbeats while one is urgent, in milliseconds. */
 const urgentHeartbeatIntervalMs = 20;
 
-/** Time without an answer after which the store is asked instead, milliseconds. */
+/** Time without a report from the coordinator after which this VM reads the store instead, in milliseconds. */
 const coordinatorTimeoutMs = 900;
 
-/** Interval at which the store is asked while no coordinator answers, milliseconds. */
+/** Interval between reads of the store while no coordinator answers, in milliseconds. */
 const storePollIntervalMs = 400;
 
-/** Interval at which it is asked while it does not answer, milliseconds: as long as a call may take. */
+/** Interval between reads while the store does not answer either, in milliseconds: the timeout of a call. */
 const unavailableStorePollIntervalMs = 800;
 
-/** Time by which the VM of least capacity waits longer to coordinate, milliseconds. */
+/** Additional delay before a VM without any capacity acquires a vacant lease, compared to one at full capacity, in milliseconds. */
 const maxElectionDelayMs = 1000;
 
-/** Time without renewal after which a coordinator looks for a VM that reaches the store, milliseconds. */
+/** Time without a renewal after which the coordinator looks for a VM that reaches the store, in milliseconds. */
 const offerThresholdMs = 2200;
 
-/** Time within which a VM that may take over has to reach the store, milliseconds. */
+/** Time within which a VM that is offered the coordination has to reach the store, in milliseconds. */
 const offerTimeoutMs = 400;
 
-/** Interval of such offers, milliseconds. */
+/** Interval between such offers, in milliseconds. */
 const offerIntervalMs = 500;
 
-/** Least time for which a coordinator stays, milliseconds. */
+/** Minimum time for which a coordinator stays before it may resign for being slow, in milliseconds. */
 const minTenureMs = 3000;
 
-/** Time for which a VM that was too slow does not coordinate again, milliseconds. */
+/** How long a VM that resigned for being slow does not acquire the lease again, in milliseconds. */
 const slowVmBackoffMs = 15_000;
 
-/** Time for which a VM that follows the store waits for a version that another has, milliseconds. */
+/** How long a follower waits to read a configuration version from the store that another VM has, in milliseconds. */
 const followerWaitMs = 300;
 
-/** Time for which a VM that leaves goes on with a change of primary, milliseconds: a promotion with its preparation. */
+/** How long a leaving VM continues a change of primary, in milliseconds: a promotion and its preparation. */
 const handOverTimeoutMs = 2500;
 
-/** Least time between two readings of the configuration, milliseconds: versions that follow each other quickly are read as one. */
+/** Minimum time between two reads of the configuration, in milliseconds: versions in quick succession are read as one. */
 const refreshIntervalMs = 500;
 
-/** Time for a call to the store, milliseconds. */
+/** Timeout of a call to the store, in milliseconds. */
 const callTimeoutMs = 800;
 
-/** Time without a heartbeat after which the coordinator drops a VM's row, milliseconds. */
+/** Time without a heartbeat after which the coordinator removes a VM's row, in milliseconds. */
 const memberTimeoutMs = 20_000;
 
-/** Interval at which the coordinator looks at the members, milliseconds. */
+/** Interval at which the coordinator checks the members, in milliseconds. */
 const memberCheckIntervalMs = 5000;
 
-/** What a VM keeps its place among the others with. */
+/** Dependencies of a `ClusterMember`. */
 export type ClusterMemberDependencies = {
 	readonly identity: GatewayIdentity;
 	readonly coordinatorLease: CoordinatorLease;
@@ -96,15 +96,15 @@
 	readonly getSettings: AdjustableSettingsSource;
 };
 
-/** Keeps this VM's place among the others: its leases, shares, and what it tells of itself. */
+/** Membership of this VM in the cluster: exchanges heartbeats and reports with the coordinator, or acts as the coordinator. */
 export class ClusterMember {
 	#server: PeerServer | undefined;
 	#timer: NodeJS.Timeout | undefined;
 	#link: PeerLink | undefined;
 	#linkAddress = '';
-	/** Address of the coordinator as another VM told it. */
+	/** Peer address of the coordinator according to another VM. */
 	#coordinatorHint: string | undefined;
-	/** Time at which such an address was last followed at once. */
+	/** Time at which such an address was last contacted without delay. */
 	#hintFollowedAt = Number.NEGATIVE_INFINITY;
 	#linkOpenedAt = Number.NEGATIVE_INFINITY;
 	#coordinatorRow: CoordinatorRow | undefined;
@@ -114,10 +114,10 @@
 	#coordinatorAnsweredAt = Number.NEGATIVE_INFINITY;
 	#storePolledAt = Number.NEGATIVE_INFINITY;
 	#isPollingStore = false;
-	/** Time at which a newer configuration was last asked for. */
+	/** Time at which a newer configuration was last requested. */
 	#configurationRefreshedAt = Number.NEGATIVE_INFINITY;
 	#isStoreUnavailable = false;
-	/** Pause until the store is asked again. */
+	/** Current interval between reads of the store, in milliseconds. */
 	#storePollIntervalMs = storePollIntervalMs;
 	#membersCheckedAt = 0;
 	#isHeartbeatUrgent = false;
@@ -125,7 +125,7 @@
 	#isLeaving = false;
 	#vacantSince: number | undefined;
 	#ineligibleUntil = 0;
-	#offeredAt = 0;
+	#handOverOfferedAt = 0;
 	#isFollower = false;
 	#instanceRevision: string | undefined;
 
@@ -144,7 +144,7 @@
 				}
 			});
 		});
-		dependencies.limiter.setTokenRequester(async wants => this.#requestTokens(wants));
+		dependencies.limiter.setTokenRequester(async demands => this.#requestTokens(demands));
 		dependencies.configurationWatcher.onApplied(() => {
 			if (dependencies.coordinatorLease.isHeld()) {
 				dependencies.coordinator.pushReports();
@@ -164,7 +164,7 @@
 				this.#handlePeerMessage(link, message);
 			},
 			onClosed() {
-				// The next heartbeat comes on another link.
+				// The peer opens another link for its next heartbeat.
 			},
 		}));
 		this.#scheduleTick();
@@ -176,12 +176,12 @@
 		this.#server?.close();
 	}
 
-	/** Hands the coordination to another VM, unless a change of primary is under way. */
+	/** Hands the coordination over to another VM, after any running change of primary, and releases the lease after a timeout. */
 	async handOver(): Promise<void> {
 		this.#isLeaving = true;
 		const deadline = this.dependencies.clock.now() + handOverTimeoutMs;
 		while (this.dependencies.coordinatorLease.isHeld() && this.dependencies.clock.now() < deadline) {
-			// Whoever accepts goes on where this VM stops.
+			// The VM that accepts continues where this one stops.
 			this.dependencies.coordinator.offerHandOver();
 			await new Promise(resolve => {
 				setTimeout(resolve, offerIntervalMs);
@@ -191,7 +191,7 @@
 		await this.dependencies.coordinatorLease.resign();
 	}
 
-	/** Removes this VM from the members, so that nobody waits for it. */
+	/** Releases the lease and removes this VM from the registered members, so that no VM waits for it. */
 	async leave(): Promise<void> {
 		await this.dependencies.coordinatorLease.resign();
 		if (this.#isRegistered) {
@@ -216,16 +216,16 @@
 		}
 
 		this.#sendHeartbeat(now);
-		const isAlone = now - this.#coordinatorAnsweredAt > coordinatorTimeoutMs;
-		this.dependencies.instanceWatcher.setPolling(isAlone);
-		if (isAlone) {
+		const isCoordinatorSilent = now - this.#coordinatorAnsweredAt > coordinatorTimeoutMs;
+		this.dependencies.instanceWatcher.setPolling(isCoordinatorSilent);
+		if (isCoordinatorSilent) {
 			this.#instanceRevision = undefined;
-			// A VM that another one named and that does not answer is forgotten.
+			// Drops the address of a coordinator that another VM named but that does not answer.
 			this.#coordinatorHint = now - this.#linkOpenedAt > coordinatorTimeoutMs ? undefined : this.#coordinatorHint;
 			this.dependencies.configurationWatcher.setPolling(true);
 		}
 
-		if (isAlone && now - this.#storePolledAt > this.#storePollIntervalMs && !this.#isPollingStore) {
+		if (isCoordinatorSilent && now - this.#storePolledAt > this.#storePollIntervalMs && !this.#isPollingStore) {
 			void this.#pollStore();
 		}
 	}
@@ -247,8 +247,8 @@
 		}
 
 		void this.dependencies.coordinatorLease.renewIfDue();
-		if (this.dependencies.coordinatorLease.getMsSinceRenewal() > offerThresholdMs && now - this.#offeredAt > offerIntervalMs && !this.dependencies.promoter.isReplacingPrimary) {
-			this.#offeredAt = now;
+		if (this.dependencies.coordinatorLease.getMsSinceRenewal() > offerThresholdMs && now - this.#handOverOfferedAt > offerIntervalMs && !this.dependencies.promoter.isReplacingPrimary) {
+			this.#handOverOfferedAt = now;
 			this.dependencies.coordinator.offerHandOver();
 		}
 
@@ -293,11 +293,11 @@
 		}
 
 		this.#link?.send(this.#heartbeatBuilder.createHeartbeat(this.#instanceRevision));
-		// A closing term waits for this VM: it tells soon that its writes are done.
+		// The coordinator waits for this VM to drain a closing term, so the next heartbeat follows quickly.
 		this.#isHeartbeatUrgent = this.#heartbeatBuilder.isDraining();
 	}
 
-	/** Returns a VM that may know the coordinator, while the store tells nothing. */
+	/** Returns a seed VM that may know the coordinator, in rotation, for when the store does not name it. */
 	#chooseSeed(now: number): string | undefined {
 		const seeds = this.dependencies.getSettings().seeds.filter(seed => seed !== this.dependencies.identity.peerAddress);
 		return seeds.length === 0 ? undefined : seeds[Math.floor(now / coordinatorTimeoutMs) % seeds.length];
@@ -374,10 +374,10 @@
 		}
 	}
 
-	/** Stops coordinating and lets another VM go on, which has just reached the store. */
+	/** Steps down in favor of another VM that has just reached the store. */
 	async #handOverTo(link: PeerLink, vm: string, address: string): Promise<void> {
 		if (!this.#isLeaving) {
-			// The store may be back for this VM as well.
+			// The store may have become reachable for this VM as well.
 			await this.dependencies.coordinatorLease.renew();
 		}
 
@@ -390,7 +390,7 @@
 		}
 	}
 
-	/** Answers a coordinator that the store turns away. */
+	/** Handles the offer of a coordinator that cannot reach the store or is leaving: accepts it, or takes over. */
 	async #handleOffer(step: 'ask' | 'take-over'): Promise<void> {
 		const at = this.dependencies.terms.getClockReading();
 		const result = await this.dependencies.store.readSharedRows(offerTimeoutMs);
@@ -434,7 +434,7 @@
 			case 'not-coordinator': {
 				this.#coordinatorAnsweredAt = Number.NEGATIVE_INFINITY;
 				this.#coordinatorHint = message.coordinator === this.#linkAddress ? undefined : message.coordinator;
-				// VMs that name each other are not asked in turns without a pause.
+				// Keeps the normal interval if two VMs name each other as the coordinator.
 				this.#isHeartbeatUrgent = this.#coordinatorHint !== undefined && this.dependencies.clock.now() - this.#hintFollowedAt > heartbeatIntervalMs;
 				this.#hintFollowedAt = this.#isHeartbeatUrgent ? this.dependencies.clock.now() : this.#hintFollowedAt;
 				return;
@@ -472,7 +472,7 @@
 
 		this.dependencies.coordinatorLease.observeVersion(report.dutyRevision);
 		const sentAt = this.#heartbeatBuilder.recordReport(report);
-		// What is left out here the next report tells again.
+		// The next report repeats a version that is skipped here.
 		if (report.configurationVersion > this.dependencies.configuration.version && now - this.#configurationRefreshedAt >= refreshIntervalMs) {
 			this.#configurationRefreshedAt = now;
 			void this.#refreshConfiguration(report.configurationVersion);
@@ -484,7 +484,7 @@
 		}
 
 		this.#coordinatorAnsweredAt = now;
-		// Whoever answers coordinates, however this VM came to ask it.
+		// The VM that sends a report is the coordinator, wherever its address came from.
 		this.#coordinatorHint = this.#linkAddress;
 		this.dependencies.terms.renewLease(sentAt);
 		for (const [group, {position, ageMs}] of Object.entries(report.positions)) {
@@ -492,14 +492,14 @@
 		}
 	}
 
-	/** Lets the coordinator tell the instances that this VM knows, if it knows any list. */
+	/** Passes the instances of this VM to the coordinator, if a list has been read. */
 	#publishInstances(): void {
 		if (this.dependencies.instances.appliedAt !== undefined) {
 			this.dependencies.coordinator.setInstances([...this.dependencies.instances.getInstances()], this.dependencies.clock.now());
 		}
 	}
 
-	/** Gets a newer configuration: from the store, or from the coordinator when the store turns this VM away. */
+	/** Gets a newer configuration from the store, or from the coordinator if this VM cannot read it there. */
 	async #refreshConfiguration(version: number): Promise<void> {
 		const isFollower = this.#isFollower;
 		if (isFollower || !await this.dependencies.configurationWatcher.refresh(version)) {
@@ -523,17 +523,17 @@
 		}
 	}
 
-	/** Asks the coordinator for tokens; undefined when it does not answer in time. */
-	async #requestTokens(wants: TokenDemands): Promise<TokenGrants | undefined> {
+	/** Requests tokens from the coordinator; returns undefined if it does not answer in time. */
+	async #requestTokens(demands: TokenDemands): Promise<TokenGrants | undefined> {
 		if (this.dependencies.coordinatorLease.isHeld()) {
-			return this.dependencies.coordinator.issueTokens(this.dependencies.identity.vm, wants);
+			return this.dependencies.coordinator.issueTokens(this.dependencies.identity.vm, demands);
 		}
 
 		if (this.#link?.isOpen !== true || this.dependencies.clock.now() - this.#coordinatorAnsweredAt > coordinatorTimeoutMs) {
 			return undefined;
 		}
 
-		return this.#tokenClient.requestTokens(this.#link, wants);
+		return this.#tokenClient.requestTokens(this.#link, demands);
 	}
 
 	async #pollStore(): Promise<void> {
@@ -550,7 +550,7 @@
 			if (result.kind === 'ok') {
 				await this.#applySharedState(parseSharedRows(result.value, this.dependencies.log), at);
 			} else if (this.#coordinatorAnsweredAt < at.monotonicMs) {
-				// The row that was read last may be old: other VMs may know better.
+				// The row that was read last may be outdated; other VMs may name another coordinator.
 				this.#coordinatorRow = undefined;
 			}
 
@@ -560,25 +560,25 @@
 		}
 	}
 
-	#recordStoreState(isThere: boolean, why: string): void {
-		if (this.#isStoreUnavailable === isThere) {
-			this.#isStoreUnavailable = !isThere;
-			this.dependencies.log.logEvent(isThere ? 'store.regained' : 'store.lost', {call: 'shared rows', why});
+	#recordStoreState(isAvailable: boolean, why: string): void {
+		if (this.#isStoreUnavailable === isAvailable) {
+			this.#isStoreUnavailable = !isAvailable;
+			this.dependencies.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'shared rows', why});
 		}
 	}
 
-	/** Lets VMs of more capacity go first: the coordinator answers all others. */
+	/** Returns whether this VM has waited long enough to acquire the vacant lease. VMs with more capacity wait less, since the coordinator answers all others. */
 	#hasElectionDelayPassed(): boolean {
 		const now = this.dependencies.clock.now();
 		this.#vacantSince ??= now;
 		return now - this.#vacantSince >= (1 - this.dependencies.getSettings().capacity) * maxElectionDelayMs;
 	}
 
-	/** Gives the coordination up when this process is too slow to answer the others. */
+	/** Resigns as the coordinator when this process is too slow to answer the other VMs. */
 	#resignIfSlow(now: number): void {
 		this.#lagMonitor.recordTick(now);
-		const {coordinatorLease: duty, promoter, coordinator, log} = this.dependencies;
-		if (this.#lagMonitor.isSlow() && duty.isHeld() && !promoter.isReplacingPrimary && coordinator.countLiveVms() > 1 && now - duty.acquiredAt > minTenureMs) {
+		const {coordinatorLease, promoter, coordinator, log} = this.dependencies;
+		if (this.#lagMonitor.isSlow() && coordinatorLease.isHeld() && !promoter.isReplacingPrimary && coordinator.countLiveVms() > 1 && now - coordinatorLease.acquiredAt > minTenureMs) {
 			log.logEvent('coordinator.slow', {lagMs: Math.round(this.#lagMonitor.lagMs)});
 			this.#lagMonitor.reset();
 			this.#ineligibleUntil = now + slowVmBackoffMs;
@@ -607,7 +607,7 @@
 			this.dependencies.terms.applyTerm(term);
 		}
 
-		// Only a VM that others know of may rely on what it read: a closing term waits for the known ones.
+		// Only a registered VM may rely on the terms it read: closing a term waits only for registered VMs.
 		this.#isRegistered = state.members.get(this.dependencies.identity.vm)?.incarnation === this.dependencies.identity.incarnation;
 		if (this.#isRegistered) {
 			this.#registeredVersion = state.members.get(this.dependencies.identity.vm)!.version;
--- a/packages/gateway/src/coordination/coordinator-lease.ts
+++ b/packages/gateway/src/coordination/coordinator-lease.ts
@@ -4,25 +4,25 @@
 import {type GatewayIdentity} from './gateway-identity.js';
 import {coordinatorKey, type CoordinatorRow, parseSharedRows} from './shared-rows.js';
 
-/** Time after its last renewal for which the holder may act, milliseconds: a store that is away for that long stops nothing. */
+/** Duration of the lease after its last renewal, in milliseconds: a store outage of that length interrupts nothing. */
 const leaseMs = 6000;
 
-/** Time by which another VM waits longer than the holder acts, milliseconds. */
+/** How much longer than the lease another VM waits before it takes over, in milliseconds. */
 const takeOverMarginMs = 500;
 
-/** Interval of renewals, milliseconds. */
+/** Interval between renewals, in milliseconds. */
 const renewalIntervalMs = 1000;
 
-/** Holder of a duty that was given up. */
+/** Value of the holder field after the lease was released. */
 const vacantHolder = '';
 
-/** Pause before a renewal that failed is tried again, milliseconds. */
+/** Delay before a failed renewal is retried, in milliseconds. */
 const renewalRetryMs = 250;
 
-/** Time for a call to the store, milliseconds. */
+/** Timeout of a call to the store, in milliseconds. */
 const callTimeoutMs = 800;
 
-/** Holds, or takes over, the row that names the coordinator. */
+/** Lease on the row that names the coordinator: acquires, renews and releases it for this VM. */
 export class CoordinatorLease {
 	readonly #lease = new DualClockLease(leaseMs);
 	#heldRow: CoordinatorRow | undefined;
@@ -31,101 +31,101 @@
 	#uncertainSince: ClockReading | undefined;
 	#queue: Promise<unknown> = Promise.resolve();
 	#acquiredAt = 0;
-	/** Newest token under which this process coordinates no more. */
+	/** Highest fencing token of a lease that this process has ended. */
 	#lastEndedToken = 0;
-	/** Times that the duty was taken or ended here. */
+	/** Number of times this process gained or ended the lease. */
 	#transitionCount = 0;
 
 	constructor(private readonly store: CoordinationStore, private readonly identity: GatewayIdentity, private readonly clock: Clock, private readonly log: EventLog) {}
 
-	/** Fencing token, while this VM holds the duty. */
+	/** Fencing token of the held lease, 0 when this VM does not hold it. */
 	get token(): number {
 		return this.#heldRow?.token ?? 0;
 	}
 
-	/** Version of the held row. */
+	/** Version of the held row, 0 when this VM does not hold the lease. */
 	get version(): number {
 		return this.#heldRow?.version ?? 0;
 	}
 
-	/** Steady time at which the duty was taken. */
+	/** Monotonic time at which this VM last gained the lease, in milliseconds. */
 	get acquiredAt(): number {
 		return this.#acquiredAt;
 	}
 
-	/** Returns for how long the store has not renewed the duty. */
+	/** Returns the time since the last renewal in milliseconds, 0 when this VM does not hold the lease. */
 	getMsSinceRenewal(): number {
 		return this.#heldRow === undefined ? 0 : leaseMs - this.getRemainingMs();
 	}
 
-	/** Says whether this VM may act as the coordinator now. */
+	/** Returns whether this VM may act as the coordinator now. */
 	isHeld(): boolean {
-		return this.#heldRow !== undefined && this.#lease.isHeld(this.#getMoment());
+		return this.#heldRow !== undefined && this.#lease.isHeld(this.#getClockReading());
 	}
 
-	/** Returns for how much longer this VM may act. */
+	/** Returns the remaining time of the lease in milliseconds, 0 when this VM does not hold it. */
 	getRemainingMs(): number {
-		return this.#heldRow === undefined ? 0 : this.#lease.getRemainingMs(this.#getMoment());
+		return this.#heldRow === undefined ? 0 : this.#lease.getRemainingMs(this.#getClockReading());
 	}
 
-	/** Takes in the row's version, as read or as the holder reported it. */
+	/** Records the version of the row, as read from the store or reported by the holder. */
 	observeVersion(version: number): void {
 		if (this.#observedVersion === undefined || version > this.#observedVersion.version) {
 			this.#observedVersion = {version, at: this.clock.now()};
 		}
 	}
 
-	/** Says whether the duty may be taken from its holder. */
-	isVacant(duty: CoordinatorRow | undefined): boolean {
-		if (duty === undefined) {
+	/** Returns whether the lease is free: released, expired, or held by an earlier process of this VM. */
+	isVacant(row: CoordinatorRow | undefined): boolean {
+		if (row === undefined) {
 			return true;
 		}
 
-		this.observeVersion(duty.version);
-		if (duty.holder === vacantHolder) {
+		this.observeVersion(row.version);
+		if (row.holder === vacantHolder) {
 			return true;
 		}
 
-		const isPredecessor = duty.holder === this.identity.vm && duty.incarnation !== this.identity.incarnation;
-		return isPredecessor || (this.#observedVersion!.version === duty.version && this.clock.now() - this.#observedVersion!.at > leaseMs + takeOverMarginMs);
+		const isPredecessor = row.holder === this.identity.vm && row.incarnation !== this.identity.incarnation;
+		return isPredecessor || (this.#observedVersion!.version === row.version && this.clock.now() - this.#observedVersion!.at > leaseMs + takeOverMarginMs);
 	}
 
-	/** Tries to become the coordinator. */
-	async tryAcquire(duty: CoordinatorRow | undefined): Promise<boolean> {
+	/** Tries to acquire the lease with the next fencing token; returns whether it succeeded. */
+	async tryAcquire(row: CoordinatorRow | undefined): Promise<boolean> {
 		const content = {
-			holder: this.identity.vm, incarnation: this.identity.incarnation, address: this.identity.peerAddress, token: (duty?.token ?? 0) + 1,
+			holder: this.identity.vm, incarnation: this.identity.incarnation, address: this.identity.peerAddress, token: (row?.token ?? 0) + 1,
 		};
-		const at = this.#getMoment();
-		const changes = this.#transitionCount;
-		const result = await this.store.writeSharedRows([{key: coordinatorKey, expectedVersion: duty?.version ?? 0, value: JSON.stringify(content)}], callTimeoutMs);
-		// A late answer tells nothing when the duty was found in the row, and perhaps given up again, meanwhile.
-		if (result.kind === 'failed' || !result.value.isApplied || changes !== this.#transitionCount) {
+		const at = this.#getClockReading();
+		const transitionCount = this.#transitionCount;
+		const result = await this.store.writeSharedRows([{key: coordinatorKey, expectedVersion: row?.version ?? 0, value: JSON.stringify(content)}], callTimeoutMs);
+		// A late response is void if the lease was meanwhile resumed from the row, and perhaps ended again.
+		if (result.kind === 'failed' || !result.value.isApplied || transitionCount !== this.#transitionCount) {
 			return false;
 		}
 
 		this.#setHeldRow({...content, version: result.value.version}, at);
 		this.#acquiredAt = this.clock.now();
-		this.log.logEvent('coordinator.taken', {token: content.token, version: result.value.version, before: duty?.holder});
+		this.log.logEvent('coordinator.taken', {token: content.token, version: result.value.version, before: row?.holder});
 		return true;
 	}
 
-	/** Takes up a duty that a lost answer had left open: the row names this process already. */
-	resume(duty: CoordinatorRow, at: ClockReading): void {
-		const isOwn = duty.holder === this.identity.vm && duty.incarnation === this.identity.incarnation;
-		// A duty that was given up may still stand in the row: its successor is about to write.
-		if (this.#heldRow === undefined && isOwn && duty.token > this.#lastEndedToken) {
-			this.#setHeldRow(duty, at);
+	/** Resumes a lease whose acquisition got no response, if the row already names this process. */
+	resume(row: CoordinatorRow, at: ClockReading): void {
+		const isOwn = row.holder === this.identity.vm && row.incarnation === this.identity.incarnation;
+		// The row may still show a lease that this process has ended, until the successor writes it.
+		if (this.#heldRow === undefined && isOwn && row.token > this.#lastEndedToken) {
+			this.#setHeldRow(row, at);
 			this.#acquiredAt = this.clock.now();
-			this.log.logEvent('coordinator.resumed', {token: duty.token, version: duty.version});
+			this.log.logEvent('coordinator.resumed', {token: row.token, version: row.version});
 		}
 	}
 
-	/** Stops coordinating without telling the store, which does not answer: another VM has agreed to take over. */
+	/** Ends the lease without writing to the store, which does not answer; another VM has agreed to take over. */
 	stepDown(): void {
 		this.end('handed over');
 	}
 
-	/** Renews the row when that is due. */
+	/** Renews the lease if the renewal interval has passed. */
 	async renewIfDue(): Promise<void> {
 		if (this.#heldRow === undefined || this.clock.now() < this.#renewedAt + renewalIntervalMs) {
 			return;
@@ -134,21 +134,21 @@
 		await this.renew();
 	}
 
-	/** Renews the row. */
+	/** Renews the lease now. */
 	async renew(): Promise<void> {
 		this.#renewedAt = this.clock.now();
 		await this.#runExclusively(async () => this.#writeAndRenew([]));
 	}
 
 	/**
-	 * Writes rows on condition that this VM still holds the duty.
-	 * @returns The version of the written rows, undefined when nothing was written as far as is known.
+	 * Writes rows on condition that this VM still holds the lease; the write also renews it.
+	 * @returns The version of the written rows, undefined if no write is known to have succeeded.
 	 */
 	async writeRowsIfHeld(writes: readonly SharedRowWrite[]): Promise<number | undefined> {
 		return this.#runExclusively(async () => this.#writeAndRenew(writes));
 	}
 
-	/** Gives the duty up, so that another VM takes it at once. */
+	/** Releases the lease in the store, so that another VM can acquire it at once. */
 	async resign(): Promise<void> {
 		const held = this.#heldRow;
 		if (held === undefined) {
@@ -162,7 +162,7 @@
 		});
 	}
 
-	/** Ends the duty: another VM holds it. */
+	/** Ends the lease in this process only, and logs the reason. */
 	end(reason: string): void {
 		if (this.#heldRow !== undefined) {
 			this.log.logEvent('coordinator.lost', {token: this.#heldRow.token, reason});
@@ -180,7 +180,7 @@
 		}
 
 		const {version, ...content} = held;
-		const at = this.#getMoment();
+		const at = this.#getClockReading();
 		const result = await this.store.writeSharedRows([{key: coordinatorKey, expectedVersion: version, value: JSON.stringify(content)}, ...writes], callTimeoutMs);
 		if (result.kind === 'ok' && result.value.isApplied) {
 			this.#setHeldRow({...held, version: result.value.version}, at);
@@ -189,47 +189,47 @@
 
 		this.#renewedAt = this.clock.now() - renewalIntervalMs + renewalRetryMs;
 		this.#uncertainSince ??= at;
-		const settled = await this.#readBackOutcome(held);
-		const isWritten = settled !== undefined && writes.length > 0 && writes.every(write => settled.rows.get(write.key) === write.value);
-		return isWritten ? settled.version : undefined;
+		const outcome = await this.#readBackOutcome(held);
+		const isWritten = outcome !== undefined && writes.length > 0 && writes.every(write => outcome.rows.get(write.key) === write.value);
+		return isWritten ? outcome.version : undefined;
 	}
 
-	/** Reads back what became of a write without a usable answer. */
+	/** Reads the rows back to find out whether a write without a usable response was applied; ends the lease if another VM holds it. */
 	async #readBackOutcome(held: CoordinatorRow): Promise<{readonly version: number; readonly rows: ReadonlyMap<string, string>} | undefined> {
 		const result = await this.store.readSharedRows(callTimeoutMs);
 		if (result.kind === 'failed') {
 			return undefined;
 		}
 
-		const {coordinator: duty} = parseSharedRows(result.value, this.log);
-		if (duty?.incarnation !== this.identity.incarnation || duty.token !== held.token) {
+		const {coordinator: currentRow} = parseSharedRows(result.value, this.log);
+		if (currentRow?.incarnation !== this.identity.incarnation || currentRow.token !== held.token) {
 			this.end('another VM holds it');
 			return undefined;
 		}
 
-		if (duty.version !== held.version) {
-			this.#setHeldRow(duty, this.#uncertainSince!);
+		if (currentRow.version !== held.version) {
+			this.#setHeldRow(currentRow, this.#uncertainSince!);
 		}
 
-		return {version: duty.version, rows: new Map(result.value.map(row => [row.key, row.value]))};
+		return {version: currentRow.version, rows: new Map(result.value.map(row => [row.key, row.value]))};
 	}
 
-	#setHeldRow(duty: CoordinatorRow, at: ClockReading): void {
+	#setHeldRow(row: CoordinatorRow, at: ClockReading): void {
 		this.#transitionCount += this.#heldRow === undefined ? 1 : 0;
-		this.#heldRow = duty;
+		this.#heldRow = row;
 		this.#uncertainSince = undefined;
 		this.#lease.renew(at);
 		this.#renewedAt = this.clock.now();
-		this.observeVersion(duty.version);
+		this.observeVersion(row.version);
 	}
 
-	async #runExclusively<T>(work: () => Promise<T>): Promise<T> {
-		const result = this.#queue.then(work);
+	async #runExclusively<T>(operation: () => Promise<T>): Promise<T> {
+		const result = this.#queue.then(operation);
 		this.#queue = result.catch(() => undefined).then(() => undefined);
 		return result;
 	}
 
-	#getMoment(): ClockReading {
+	#getClockReading(): ClockReading {
 		return {monotonicMs: this.clock.now(), wallMs: this.clock.getWallTime()};
 	}
 }
--- a/packages/gateway/src/coordination/coordinator.ts
+++ b/packages/gateway/src/coordination/coordinator.ts
@@ -8,13 +8,13 @@
 import {termLeaseMs, type TermRegistry} from '../terms/index.js';
 import {type CoordinatorLease} from './coordinator-lease.js';
 
-/** Time without a heartbeat after which a VM's demand and evidence no longer count, milliseconds. */
+/** Time without a heartbeat after which a VM's demand and evidence are ignored, in milliseconds. */
 const heartbeatTimeoutMs = 1500;
 
-/** VMs beside the coordinator that read the store themselves, so that one whom it turns away learns of changes. */
+/** Number of VMs besides the coordinator that read the store themselves, so that a coordinator whose calls the store rejects still learns of changes. */
 const followerCount = 2;
 
-/** Slack on top of a lease that has to run out, milliseconds. */
+/** Safety margin added when waiting for a lease to expire, in milliseconds. */
 const leaseMarginMs = 50;
 
 type MemberState = {
@@ -23,58 +23,58 @@
 	heartbeatAt: number;
 };
 
-/** What a coordinator works with. */
+/** Dependencies of a `Coordinator`. */
 export type CoordinatorDependencies = {
 	readonly vm: string;
 	readonly coordinatorLease: CoordinatorLease;
 	readonly terms: TermRegistry;
 	readonly configuration: ConfigurationView;
 	readonly clock: Clock;
-	/** Window over which the limits of client accounts hold, milliseconds. */
+	/** Window over which the limits of client accounts apply, in milliseconds. */
 	readonly limitWindowMs: number;
 };
 
-/** What the coordinator knows of the VMs: it answers their heartbeats and divides what they share. */
+/** Tracks the VMs of the cluster, answers their heartbeats and divides the shared limits between them. */
 export class Coordinator {
 	readonly #members = new Map<string, MemberState>();
-	readonly #issuer: TokenIssuer;
+	readonly #tokenIssuer: TokenIssuer;
 	#registeredVms: ReadonlySet<string> = new Set();
-	/** Absent until the list was read: an empty list would say that every instance is gone. */
+	/** Undefined until the list has been read: an empty list would mean that every instance is gone. */
 	#instances: CoordinatorReport['instances'];
 
 	constructor(private readonly dependencies: CoordinatorDependencies) {
-		this.#issuer = new TokenIssuer(dependencies.limitWindowMs);
+		this.#tokenIssuer = new TokenIssuer(dependencies.limitWindowMs);
 	}
 
-	/** VMs that may hold a lease or a share, this one included. */
+	/** Number of VMs that may hold a lease or a share, including this one. */
 	get memberCount(): number {
 		return new Set([...this.#registeredVms, ...this.#members.keys(), this.dependencies.vm]).size;
 	}
 
-	/** Sets the VMs that the store lists. */
+	/** Sets the VMs that are registered in the store. */
 	setRegisteredVms(vms: ReadonlySet<string>): void {
 		this.#registeredVms = vms;
 	}
 
-	/** Returns the registered VMs that have not been heard for a time. */
+	/** Returns the registered VMs that have sent no heartbeat for longer than `silentMs`, in milliseconds. */
 	getSilentVms(silentMs: number): string[] {
 		const now = this.dependencies.clock.now();
 		return [...this.#registeredVms].filter(vm => vm !== this.dependencies.vm && now - Math.max(this.#members.get(vm)?.heartbeatAt ?? 0, this.dependencies.coordinatorLease.acquiredAt) > silentMs);
 	}
 
-	/** Forgets a VM that is gone. */
+	/** Drops the state of a VM that is gone. */
 	removeMember(vm: string): void {
 		this.#members.delete(vm);
 	}
 
-	/** Answers a heartbeat. */
+	/** Records a heartbeat and returns the report that answers it. */
 	handleHeartbeat(heartbeat: Heartbeat, link: PeerLink | undefined): CoordinatorReport {
 		const now = this.dependencies.clock.now();
 		const isDelayed = heartbeat.sequence < (this.#members.get(heartbeat.vm)?.heartbeat.sequence ?? 0)
 			&& heartbeat.incarnation === this.#members.get(heartbeat.vm)?.heartbeat.incarnation;
 		if (!isDelayed) {
 			if (heartbeat.incarnation !== this.#members.get(heartbeat.vm)?.heartbeat.incarnation) {
-				this.#issuer.removeVm(heartbeat.vm);
+				this.#tokenIssuer.removeVm(heartbeat.vm);
 			}
 
 			this.#members.set(heartbeat.vm, {link, heartbeat, heartbeatAt: now});
@@ -84,21 +84,21 @@
 		return this.createReport(heartbeat.vm, heartbeat.sequence);
 	}
 
-	/** Asks the other VMs whether one of them can take over. */
+	/** Asks the other VMs whether one of them can take over as the coordinator. */
 	offerHandOver(): void {
 		for (const member of this.#members.values()) {
 			member.link?.send({kind: 'offer', step: 'ask'});
 		}
 	}
 
-	/** Tells every connected VM who coordinates from now on. */
+	/** Sends every connected VM the peer address of the new coordinator. */
 	announceSuccessor(address: string): void {
 		for (const member of this.#members.values()) {
 			member.link?.send({kind: 'not-coordinator', coordinator: address});
 		}
 	}
 
-	/** Tells every connected VM what is in force now. */
+	/** Sends every connected VM a report of the current state. */
 	pushReports(): void {
 		for (const [vm, member] of this.#members) {
 			member.link?.send(this.createReport(vm, undefined));
@@ -109,7 +109,7 @@
 		const positions: CoordinatorReport['positions'] = {};
 		const terms = this.dependencies.terms.getTerms();
 		const heartbeat = this.#members.get(vm)?.heartbeat;
-		const isKnown = terms.every(term => heartbeat?.revisions[term.group] === term.revision);
+		const areTermsKnown = terms.every(term => heartbeat?.revisions[term.group] === term.revision);
 		for (const {group} of terms) {
 			const newest = this.dependencies.terms.getNewestPosition(group);
 			if (newest !== undefined) {
@@ -123,7 +123,7 @@
 			stampMs: this.dependencies.clock.now(),
 			token: this.dependencies.coordinatorLease.token,
 			dutyRevision: this.dependencies.coordinatorLease.version,
-			terms: isKnown ? undefined : terms,
+			terms: areTermsKnown ? undefined : terms,
 			isFollower: this.#isFollower(vm),
 			instances: heartbeat?.instanceRevision === this.#instances?.revision ? undefined : this.#instances,
 			positions,
@@ -132,37 +132,37 @@
 		};
 	}
 
-	/** Sets the instances that the VMs are told. */
+	/** Sets the instances that reports carry to the VMs. */
 	setInstances(entries: readonly Instance[], now: number): void {
 		this.#instances = {revision: `${this.dependencies.coordinatorLease.token}.${Math.round(now)}`, entries: [...entries]};
 	}
 
-	/** Gives a VM tokens of the accounts that it asks for. */
-	issueTokens(vm: string, wants: TokenDemands): TokenGrants {
+	/** Grants a VM tokens for the accounts that it requests. */
+	issueTokens(vm: string, demands: TokenDemands): TokenGrants {
 		const now = this.dependencies.clock.now();
-		// A VM whose link was closed is gone with its process; one that is only silent may live and go on.
-		const silence = {silent: this.getSilentVms(heartbeatTimeoutMs).filter(name => this.#members.get(name)?.link?.isOpen !== false), members: this.memberCount};
+		// A closed link means that the process of the VM has ended; a VM that is only silent may still be running and using its tokens.
+		const silentMembers = {silent: this.getSilentVms(heartbeatTimeoutMs).filter(name => this.#members.get(name)?.link?.isOpen !== false), members: this.memberCount};
 		const grants: TokenGrants = {};
-		for (const [account, want] of Object.entries(wants)) {
+		for (const [account, demand] of Object.entries(demands)) {
 			const limit = this.dependencies.configuration.getAccount(account);
 			grants[account] = limit === undefined
 				? {count: 0, waitMs: heartbeatTimeoutMs}
-				: this.#issuer.grantTokens({
-					vm, account, demand: want, limit,
-				}, silence, now);
+				: this.#tokenIssuer.grantTokens({
+					vm, account, demand, limit,
+				}, silentMembers, now);
 		}
 
 		return grants;
 	}
 
-	/** Says whether a VM is one of the few that follow the store beside the coordinator. */
+	/** Returns whether a VM is one of the followers that read the store besides the coordinator. */
 	#isFollower(vm: string): boolean {
 		const now = this.dependencies.clock.now();
-		const heard = [...this.#members].filter(([name, member]) => name !== this.dependencies.vm && now - member.heartbeatAt <= heartbeatTimeoutMs).map(([name]) => name).toSorted();
-		return heard.indexOf(vm) < followerCount;
+		const liveVms = [...this.#members].filter(([name, member]) => name !== this.dependencies.vm && now - member.heartbeatAt <= heartbeatTimeoutMs).map(([name]) => name).toSorted();
+		return liveVms.indexOf(vm) < followerCount;
 	}
 
-	/** Returns the evidence that other VMs have on a group's primary, on this VM's clock. */
+	/** Returns the evidence of the other VMs on a group's primary, with times converted to this VM's clock. */
 	getPrimaryEvidence(group: string): PrimaryEvidence[] {
 		const now = this.dependencies.clock.now();
 		return [...this.#members].flatMap(([vm, member]) => {
@@ -181,16 +181,16 @@
 		});
 	}
 
-	/** Returns how many VMs were heard lately, this one included. */
+	/** Returns the number of VMs with a recent heartbeat, including this one. */
 	countLiveVms(): number {
 		const now = this.dependencies.clock.now();
 		return [...this.#members].filter(([vm, member]) => vm !== this.dependencies.vm && now - member.heartbeatAt <= heartbeatTimeoutMs).length + 1;
 	}
 
 	/**
-	 * Says whether no VM can still act by a group's term before a revision.
-	 * @param closedAt - Steady time at which the store had acknowledged the revision.
-	 * @param registered - VMs that the store listed after that.
+	 * Returns whether no VM can still act on a term of the group that is older than a revision.
+	 * @param closedAt - Monotonic time by which the store had acknowledged the revision, in milliseconds.
+	 * @param registered - VMs that were registered in the store after that.
 	 */
 	isTermClosed(group: string, revision: number, closedAt: number, registered: ReadonlySet<string>): boolean {
 		const now = this.dependencies.clock.now();
@@ -209,7 +209,7 @@
 			return;
 		}
 
-		// The sender had our stamp for this long when it wrote the heartbeat, which was no earlier than that.
+		// The sender created the heartbeat `ageMs` after it received our timestamp, so no earlier than this.
 		const sentAt = heartbeat.echo.stampMs + heartbeat.echo.ageMs;
 		for (const [group, {position, ageMs}] of Object.entries(heartbeat.positions)) {
 			this.dependencies.terms.recordPosition(group, position, Math.min(sentAt, this.dependencies.clock.now()) - ageMs);
--- a/packages/gateway/src/coordination/event-loop-lag-monitor.ts
+++ b/packages/gateway/src/coordination/event-loop-lag-monitor.ts
@@ -1,26 +1,26 @@
-/** Average delay of the loop above which a VM does not coordinate, milliseconds: answers about tokens would come too late. */
+/** Average delay of the loop above which a VM does not coordinate, in milliseconds: its token grants would arrive too late. */
 const maxAverageLagMs = 60;
 
-/** Weight of the newest delay in the average: about a second of ticks. */
+/** Weight of a new sample in the moving average: the average spans about a second of ticks. */
 const smoothingFactor = 0.05;
 
-/** Longest delay that counts, in multiples of the slow one: a single freeze is no slowness. */
+/** Cap of a single sample as a multiple of the maximum average, so that one pause of the process does not count as slowness. */
 const maxSampleFactor = 4;
 
-/** Tells whether the loop of this process keeps up. */
+/** Measures the average delay of a periodic loop in this process. */
 export class EventLoopLagMonitor {
 	#observedAt: number | undefined;
 	#lagMs = 0;
 
-	/** @param intervalMs - Time between two observations of a loop that keeps up. */
+	/** @param intervalMs - Interval between two ticks without delay, in milliseconds. */
 	constructor(private readonly intervalMs: number) {}
 
-	/** Average delay, milliseconds. */
+	/** Moving average of the delay, in milliseconds. */
 	get lagMs(): number {
 		return this.#lagMs;
 	}
 
-	/** Takes in that the loop came round. */
+	/** Records a tick of the loop. */
 	recordTick(now: number): void {
 		const lagMs = Math.max(0, now - (this.#observedAt ?? now) - this.intervalMs);
 		this.#observedAt = now;
--- a/packages/gateway/src/coordination/gateway-identity.ts
+++ b/packages/gateway/src/coordination/gateway-identity.ts
@@ -1,9 +1,9 @@
-/** Who this VM is among the others. */
+/** Identity of this VM in the cluster. */
 export type GatewayIdentity = {
 	readonly vm: string;
 	readonly zone: string;
-	/** Differs between two processes of one VM. */
+	/** Differs between successive processes of one VM. */
 	readonly incarnation: string;
-	/** Host and port on which other VMs reach it. */
+	/** Host and port on which other VMs reach this one. */
 	readonly peerAddress: string;
 };
--- a/packages/gateway/src/coordination/heartbeat-builder.ts
+++ b/packages/gateway/src/coordination/heartbeat-builder.ts
@@ -6,10 +6,10 @@
 import {type TermRegistry} from '../terms/index.js';
 import {type GatewayIdentity} from './gateway-identity.js';
 
-/** Heartbeats whose answers may still come. */
+/** Number of sent heartbeats that are kept to match their reports. */
 const maxPendingHeartbeats = 8;
 
-/** What heartbeats are written from. */
+/** Dependencies of a `HeartbeatBuilder`. */
 export type HeartbeatBuilderDependencies = {
 	readonly identity: GatewayIdentity;
 	readonly terms: TermRegistry;
@@ -18,7 +18,7 @@
 	readonly clock: Clock;
 };
 
-/** Writes what this VM tells the coordinator, and remembers when. */
+/** Creates the heartbeats of this VM and records when each was created. */
 export class HeartbeatBuilder {
 	#sequence = 0;
 	#sent: Array<{readonly sequence: number; readonly at: ClockReading}> = [];
@@ -27,8 +27,8 @@
 	constructor(private readonly dependencies: HeartbeatBuilderDependencies) {}
 
 	/**
-	 * Writes a heartbeat that is sent now.
-	 * @param instanceRevision - List of instances that this VM was told last.
+	 * Creates a heartbeat that is to be sent immediately.
+	 * @param instanceRevision - Revision of the instance list that this VM last received.
 	 */
 	createHeartbeat(instanceRevision: string | undefined): Heartbeat {
 		const {identity, terms, configuration, clock} = this.dependencies;
@@ -49,12 +49,12 @@
 		};
 	}
 
-	/** Says whether the newest heartbeat told that a closing term is still drained here. */
+	/** Returns whether this VM is still draining the writes of a closing term. */
 	isDraining(): boolean {
 		return this.dependencies.terms.getTerms().some(term => this.dependencies.terms.getDrainedRevision(term.group) !== term.revision);
 	}
 
-	/** Takes in a report; returns when the heartbeat was sent that it answers, if it answers one. */
+	/** Records a report; returns the time of the heartbeat that it answers, undefined if it answers none that is kept. */
 	recordReport(report: CoordinatorReport): ClockReading | undefined {
 		this.#echo = {stampMs: report.stampMs, receivedAt: this.dependencies.clock.now()};
 		return this.#sent.find(heartbeat => heartbeat.sequence === report.sequence)?.at;
@@ -75,13 +75,13 @@
 	#createEvidence(now: number): Heartbeat['evidence'] {
 		const evidence: Heartbeat['evidence'] = {};
 		for (const {group, primaryId} of this.dependencies.terms.getTerms()) {
-			const seen = this.dependencies.dispatcher.getTracker(primaryId)?.createEvidence(this.dependencies.identity.vm, now);
-			if (seen !== undefined) {
+			const primaryEvidence = this.dependencies.dispatcher.getTracker(primaryId)?.createEvidence(this.dependencies.identity.vm, now);
+			if (primaryEvidence !== undefined) {
 				evidence[group] = {
-					instanceId: seen.instanceId,
-					answeredAgoMs: seen.answeredAt === undefined ? undefined : now - seen.answeredAt,
-					failingForMs: seen.failingSince === undefined ? undefined : now - seen.failingSince,
-					isRefused: seen.isRefused || undefined,
+					instanceId: primaryEvidence.instanceId,
+					answeredAgoMs: primaryEvidence.answeredAt === undefined ? undefined : now - primaryEvidence.answeredAt,
+					failingForMs: primaryEvidence.failingSince === undefined ? undefined : now - primaryEvidence.failingSince,
+					isRefused: primaryEvidence.isRefused || undefined,
 				};
 			}
 		}
--- a/packages/gateway/src/coordination/promoter.ts
+++ b/packages/gateway/src/coordination/promoter.ts
@@ -13,44 +13,44 @@
 import {type CoordinatorLease} from './coordinator-lease.js';
 import {getTermKey, parseSharedRows, type TermContent} from './shared-rows.js';
 
-/** Why a group gets another primary. */
+/** Reason for replacing the primary of a group. */
 type PromotionReason = 'crashed' | 'gone' | 'draining' | 'resumed';
 
-/** Time for which writes that are under way may still end, milliseconds: a planned change waits for a slow statement. */
+/** How long pending writes may still complete once a term closes, in milliseconds by reason. A planned change waits for a slow statement. */
 const drainMsByReason: Readonly<Record<PromotionReason, number>> = {
 	crashed: 0, gone: 0, draining: 300, resumed: 0,
 };
 
 type InstanceWithStatus = {readonly instance: Instance; readonly status: InstanceStatus};
 
-/** Time for the status of an instance, milliseconds. */
+/** Timeout of a status request to an instance, in milliseconds. */
 const statusTimeoutMs = 400;
 
-/** Time for which a planned change of primary waits for its successor to catch up, milliseconds. */
+/** How long a planned change of primary waits for its successor to catch up, in milliseconds. */
 const catchUpTimeoutMs = 1500;
 
-/** Time for which a busy instance is asked again, milliseconds. */
+/** How long a status request to a busy instance is retried, in milliseconds. */
 const busyRetryTimeoutMs = 800;
 
-/** Interval of questions while something is waited for, milliseconds. */
+/** Polling interval of the wait loops, in milliseconds. */
 const pollIntervalMs = 30;
 
-/** Time for a call to the platform, milliseconds. */
+/** Timeout of a promotion call to the platform, in milliseconds. */
 const promoteTimeoutMs = 2500;
 
-/** Time for a promoted instance to lead, milliseconds: several times what deployments state. */
+/** How long a promoted instance may take to become the primary, in milliseconds: several times what deployments state. */
 const promotionEffectTimeoutMs = 4000;
 
-/** Pause before a procedure that failed is begun again, milliseconds. */
+/** Delay before a failed procedure is retried, in milliseconds. */
 const retryDelayMs = 200;
 
-/** Least time for which the duty has to last when a promotion is ordered, milliseconds. */
+/** Minimum remaining time of the coordinator lease for requesting a promotion, in milliseconds. */
 const minRemainingLeaseMs = 500;
 
-/** Account name of connections that the gateway uses for itself. */
-const controlAccount = 'chicorysaddle';
+/** Account name of the gateway's own connections to instances. */
+const gatewayAccount = 'chicorysaddle';
 
-/** What a promoter works with. */
+/** Dependencies of a `Promoter`. */
 export type PromoterDependencies = {
 	readonly vm: string;
 	readonly coordinatorLease: CoordinatorLease;
@@ -67,19 +67,19 @@
 	readonly metrics: GatewayMetrics;
 };
 
-/** Gives each group a primary: one at a time, after no VM uses the former one any more. */
+/** Ensures that each group has one primary; promotes a successor only after no VM uses the former primary any more. */
 export class Promoter {
 	readonly #groupsInProgress = new Set<string>();
 	#replacementCount = 0;
 
 	constructor(private readonly dependencies: PromoterDependencies) {}
 
-	/** Whether a change of primary is under way. */
+	/** Whether the primary of any group is being replaced. */
 	get isReplacingPrimary(): boolean {
 		return this.#replacementCount > 0;
 	}
 
-	/** Looks at every group, and begins what is due. */
+	/** Checks every group and starts the due changes of primary. Does nothing unless this VM is the coordinator and has read the instances. */
 	checkGroups(): void {
 		if (!this.dependencies.coordinatorLease.isHeld() || this.dependencies.instances.appliedAt === undefined) {
 			return;
@@ -131,12 +131,12 @@
 			return 'draining';
 		}
 
-		const own = this.dependencies.dispatcher.getTracker(term.primaryId)?.createEvidence(this.dependencies.vm, this.dependencies.clock.now());
-		const evidence = [...(own === undefined ? [] : [own]), ...this.dependencies.coordinator.getPrimaryEvidence(term.group)];
+		const ownEvidence = this.dependencies.dispatcher.getTracker(term.primaryId)?.createEvidence(this.dependencies.vm, this.dependencies.clock.now());
+		const evidence = [...(ownEvidence === undefined ? [] : [ownEvidence]), ...this.dependencies.coordinator.getPrimaryEvidence(term.group)];
 		return isPrimaryDead(term.primaryId, evidence, this.dependencies.coordinator.countLiveVms(), this.dependencies.clock.now()) ? 'crashed' : undefined;
 	}
 
-	/** Says whether a primary that VMs miss answers after all, if only that it has no room. */
+	/** Returns whether a primary that VMs report as dead still answers; an answer that it is busy counts. */
 	async #isPrimaryAnswering(term: GroupTerm): Promise<boolean> {
 		const instance = this.dependencies.instances.getInstance(term.primaryId);
 		const reading = instance === undefined ? 'unreachable' : await this.#readStatus(instance);
@@ -145,14 +145,14 @@
 
 	async #recordInitialPrimary(group: string): Promise<void> {
 		const readings = await this.#readStatuses(this.dependencies.instances.getGroupInstances(group));
-		const leader = findPrimary(readings);
-		if (leader === undefined) {
+		const primary = findPrimary(readings);
+		if (primary === undefined) {
 			await delay(retryDelayMs);
 			return;
 		}
 
 		await this.#writeTerm(group, 0, {
-			term: leader.status.term, primaryId: leader.instance.id, phase: 'open', drainMs: 0,
+			term: primary.status.term, primaryId: primary.instance.id, phase: 'open', drainMs: 0,
 		});
 	}
 
@@ -161,37 +161,37 @@
 			group: term.group, term: term.term, primary: term.primaryId, reason, token: this.dependencies.coordinatorLease.token,
 		});
 		const startedAt = this.dependencies.clock.now();
-		const closed = reason === 'resumed'
+		const closedTerm = reason === 'resumed'
 			? term
 			: await this.#writeTerm(term.group, term.revision, {
 				term: term.term, primaryId: term.primaryId, phase: 'closing', drainMs: drainMsByReason[reason],
 			});
-		if (closed === undefined || !await this.#waitUntilClosed(closed)) {
+		if (closedTerm === undefined || !await this.#waitUntilClosed(closedTerm)) {
 			await delay(retryDelayMs);
 			return;
 		}
 
 		const closedMs = this.dependencies.clock.now() - startedAt;
-		const leader = await this.#findSuccessor(closed, reason);
-		if (leader === undefined) {
+		const primary = await this.#findSuccessor(closedTerm, reason);
+		if (primary === undefined) {
 			await delay(retryDelayMs);
 			return;
 		}
 
-		const opened = await this.#writeTerm(closed.group, closed.revision, {
-			term: leader.status.term, primaryId: leader.instance.id, phase: 'open', drainMs: 0,
+		const openedTerm = await this.#writeTerm(closedTerm.group, closedTerm.revision, {
+			term: primary.status.term, primaryId: primary.instance.id, phase: 'open', drainMs: 0,
 		});
 		this.dependencies.log.logEvent('promotion.ended', {
-			group: term.group, term: leader.status.term, primary: leader.instance.id, closedMs: Math.round(closedMs), durationMs: Math.round(this.dependencies.clock.now() - startedAt), recorded: opened !== undefined,
+			group: term.group, term: primary.status.term, primary: primary.instance.id, closedMs: Math.round(closedMs), durationMs: Math.round(this.dependencies.clock.now() - startedAt), recorded: openedTerm !== undefined,
 		});
 		this.dependencies.metrics.addCount('promotions');
 	}
 
-	async #waitUntilClosed(closed: GroupTerm): Promise<boolean> {
+	async #waitUntilClosed(closedTerm: GroupTerm): Promise<boolean> {
 		const closedAt = this.dependencies.clock.now();
 		const result = await this.dependencies.store.readSharedRows(statusTimeoutMs);
 		const registered = result.kind === 'ok' ? new Set(parseSharedRows(result.value, this.dependencies.log).members.keys()) : undefined;
-		while (!this.dependencies.coordinator.isTermClosed(closed.group, closed.revision, closedAt, registered ?? new Set(['an unknown VM']))) {
+		while (!this.dependencies.coordinator.isTermClosed(closedTerm.group, closedTerm.revision, closedAt, registered ?? new Set(['an unknown VM']))) {
 			if (!this.dependencies.coordinatorLease.isHeld()) {
 				return false;
 			}
@@ -202,30 +202,30 @@
 		return true;
 	}
 
-	/** Promotes the most advanced instance, or finds the one that leads already. */
-	async #findSuccessor(closed: GroupTerm, reason: PromotionReason): Promise<InstanceWithStatus | undefined> {
-		const all = this.dependencies.instances.getGroupInstances(closed.group);
+	/** Returns the new primary: the instance that was already promoted, otherwise the most advanced one after promoting it. */
+	async #findSuccessor(closedTerm: GroupTerm, reason: PromotionReason): Promise<InstanceWithStatus | undefined> {
+		const all = this.dependencies.instances.getGroupInstances(closedTerm.group);
 		const readings = await this.#readStatuses(all);
-		const leader = findPrimary(readings.filter(reading => reading.status.term > closed.term));
-		if (leader !== undefined) {
-			return leader;
+		const primary = findPrimary(readings.filter(reading => reading.status.term > closedTerm.term));
+		if (primary !== undefined) {
+			return primary;
 		}
 
-		const former = readings.find(reading => reading.instance.id === closed.primaryId && reading.status.role === 'primary');
-		if (former?.instance.state === 'ready' && reason === 'resumed') {
-			// The procedure was broken off before anything was promoted, and the former primary is well.
-			return former;
+		const formerPrimary = readings.find(reading => reading.instance.id === closedTerm.primaryId && reading.status.role === 'primary');
+		if (formerPrimary?.instance.state === 'ready' && reason === 'resumed') {
+			// The procedure was interrupted before any promotion, and the former primary is healthy.
+			return formerPrimary;
 		}
 
 		const candidates = readings
-			.filter(reading => reading.instance.id !== closed.primaryId && reading.instance.state === 'ready')
+			.filter(reading => reading.instance.id !== closedTerm.primaryId && reading.instance.state === 'ready')
 			.toSorted((a, b) => comparePositions(b.status.position, a.status.position));
 		for (const candidate of candidates) {
-			if (former !== undefined) {
-				await this.#waitForCatchUp(candidate, former);
+			if (formerPrimary !== undefined) {
+				await this.#waitForCatchUp(candidate, formerPrimary);
 			}
 
-			const promoted = await this.#promote(closed, candidate.instance);
+			const promoted = await this.#promote(closedTerm, candidate.instance);
 			if (promoted !== undefined) {
 				return promoted;
 			}
@@ -234,16 +234,16 @@
 		return undefined;
 	}
 
-	async #waitForCatchUp(candidate: InstanceWithStatus, former: InstanceWithStatus): Promise<void> {
+	async #waitForCatchUp(candidate: InstanceWithStatus, formerPrimary: InstanceWithStatus): Promise<void> {
 		const deadline = this.dependencies.clock.now() + catchUpTimeoutMs;
 		let reading: InstanceWithStatus | undefined = candidate;
-		while (reading !== undefined && comparePositions(reading.status.position, former.status.position) < 0 && this.dependencies.clock.now() < deadline) {
+		while (reading !== undefined && comparePositions(reading.status.position, formerPrimary.status.position) < 0 && this.dependencies.clock.now() < deadline) {
 			await delay(pollIntervalMs);
-			reading = await this.#readStatusUnlessBusy(candidate.instance);
+			reading = await this.#readStatusWithRetry(candidate.instance);
 		}
 	}
 
-	async #promote(closed: GroupTerm, instance: Instance): Promise<InstanceWithStatus | undefined> {
+	async #promote(closedTerm: GroupTerm, instance: Instance): Promise<InstanceWithStatus | undefined> {
 		const deadline = this.dependencies.clock.now() + promotionEffectTimeoutMs;
 		while (this.dependencies.clock.now() < deadline) {
 			if (this.dependencies.coordinatorLease.getRemainingMs() < minRemainingLeaseMs) {
@@ -251,17 +251,17 @@
 			}
 
 			const result = await this.dependencies.promotionService.promote({
-				group: closed.group, instanceId: instance.id, holder: this.dependencies.vm, fencingToken: this.dependencies.coordinatorLease.token,
+				group: closedTerm.group, instanceId: instance.id, holder: this.dependencies.vm, fencingToken: this.dependencies.coordinatorLease.token,
 			}, promoteTimeoutMs);
 			this.dependencies.log.logEvent('promotion.ordered', {
-				group: closed.group, instance: instance.id, token: this.dependencies.coordinatorLease.token, result,
+				group: closedTerm.group, instance: instance.id, token: this.dependencies.coordinatorLease.token, result,
 			});
 			if (result === 'rejected') {
 				return undefined;
 			}
 
 			if (result === 'accepted') {
-				return this.#waitUntilPrimary(closed, instance, deadline);
+				return this.#waitUntilPrimary(closedTerm, instance, deadline);
 			}
 
 			await delay(pollIntervalMs);
@@ -270,10 +270,10 @@
 		return undefined;
 	}
 
-	async #waitUntilPrimary(closed: GroupTerm, instance: Instance, deadline: number): Promise<InstanceWithStatus | undefined> {
+	async #waitUntilPrimary(closedTerm: GroupTerm, instance: Instance, deadline: number): Promise<InstanceWithStatus | undefined> {
 		while (this.dependencies.clock.now() < deadline) {
-			const reading = await this.#readStatusUnlessBusy(instance);
-			if (reading?.status.role === 'primary' && reading.status.term > closed.term) {
+			const reading = await this.#readStatusWithRetry(instance);
+			if (reading?.status.role === 'primary' && reading.status.term > closedTerm.term) {
 				return reading;
 			}
 
@@ -296,12 +296,12 @@
 	}
 
 	async #readStatuses(instances: readonly Instance[]): Promise<InstanceWithStatus[]> {
-		const readings = await Promise.all(instances.map(async instance => this.#readStatusUnlessBusy(instance)));
+		const readings = await Promise.all(instances.map(async instance => this.#readStatusWithRetry(instance)));
 		return readings.filter(reading => reading !== undefined);
 	}
 
-	/** Asks an instance until it has room to answer. */
-	async #readStatusUnlessBusy(instance: Instance): Promise<InstanceWithStatus | undefined> {
+	/** Reads the status of an instance, retrying while it is busy. */
+	async #readStatusWithRetry(instance: Instance): Promise<InstanceWithStatus | undefined> {
 		const deadline = this.dependencies.clock.now() + busyRetryTimeoutMs;
 		for (;;) {
 			const reading = await this.#readStatus(instance);
@@ -318,7 +318,7 @@
 	}
 
 	async #readStatus(instance: Instance): Promise<InstanceWithStatus | 'busy' | 'unreachable'> {
-		const result = await this.dependencies.connector.open(instance, controlAccount, statusTimeoutMs);
+		const result = await this.dependencies.connector.open(instance, gatewayAccount, statusTimeoutMs);
 		if (result.kind === 'failed') {
 			const {reason} = result.failure;
 			return reason === 'busy' || reason === 'connection-limit' ? 'busy' : 'unreachable';
--- a/packages/gateway/src/coordination/shared-rows.ts
+++ b/packages/gateway/src/coordination/shared-rows.ts
@@ -7,11 +7,11 @@
 
 const coordinatorCodec = Codec.interface({
 	holder: string,
-	/** Start of the holder's process: a restarted VM is another holder. */
+	/** Identifies the holder's process: a restarted VM counts as another holder. */
 	incarnation: string,
 	/** Peer address of the holder. */
 	address: string,
-	/** Rises with each change of holder. */
+	/** Fencing token, increased with each change of holder. */
 	token: number,
 });
 
@@ -21,16 +21,16 @@
 	term: number, primaryId: string, phase: oneOf([exactly('open'), exactly('closing')]), drainMs: number,
 });
 
-/** Which VM coordinates. */
+/** Row that names the coordinator. */
 export type CoordinatorRow = GetType<typeof coordinatorCodec> & {readonly version: number};
 
-/** A VM as it registered itself. */
+/** Row in which a VM registered itself. */
 export type MemberRow = GetType<typeof memberCodec> & {readonly vm: string; readonly version: number};
 
-/** Content of a group's row. */
+/** Content of a group's term row. */
 export type TermContent = GetType<typeof termCodec>;
 
-/** All shared rows as of one moment. */
+/** All shared rows from a single read. */
 export type SharedState = {
 	readonly coordinator: CoordinatorRow | undefined;
 	readonly members: ReadonlyMap<string, MemberRow>;
@@ -43,26 +43,26 @@
 const memberKeyPrefix = 'vm/';
 const termKeyPrefix = 'group/';
 
-/** Returns the key of a VM's row. */
+/** Returns the key of a VM's member row. */
 export function getMemberKey(vm: string): string {
 	return `${memberKeyPrefix}${vm}`;
 }
 
-/** Returns the key of a group's row. */
+/** Returns the key of a group's term row. */
 export function getTermKey(group: string): string {
 	return `${termKeyPrefix}${group}`;
 }
 
-/** Reads the shared rows; one that cannot be read is logged and left out. */
+/** Parses the shared rows; rows that cannot be parsed are logged and omitted. */
 export function parseSharedRows(rows: readonly SharedRow[], log: EventLog): SharedState {
-	let duty: CoordinatorRow | undefined;
+	let coordinator: CoordinatorRow | undefined;
 	const members = new Map<string, MemberRow>();
 	const terms = new Map<string, GroupTerm>();
 	for (const row of rows) {
 		const value = parseValue(row);
 		if (row.key === coordinatorKey) {
 			const content = decodeRow(coordinatorCodec, row, value, log);
-			duty = content === undefined ? duty : {...content, version: row.version};
+			coordinator = content === undefined ? coordinator : {...content, version: row.version};
 		} else if (row.key.startsWith(memberKeyPrefix)) {
 			const vm = row.key.slice(memberKeyPrefix.length);
 			const content = decodeRow(memberCodec, row, value, log);
@@ -78,7 +78,7 @@
 		}
 	}
 
-	return {coordinator: duty, members, terms};
+	return {coordinator, members, terms};
 }
 
 function decodeRow<T>(codec: Codec<T>, row: SharedRow, value: unknown, log: EventLog): T | undefined {
@@ -91,7 +91,7 @@
 	try {
 		return JSON.parse(row.value);
 	} catch {
-		// The codec rejects it and names the row.
+		// The codec rejects the undefined value, and the row is logged.
 		return undefined;
 	}
 }
--- a/packages/gateway/src/coordination/tcp-peer-network.ts
+++ b/packages/gateway/src/coordination/tcp-peer-network.ts
@@ -4,19 +4,19 @@
 	type PeerHandlers, type PeerLink, type PeerServer, type PeerNetwork,
 } from '../ports/index.js';
 
-/** Longest line between VMs, characters: a configuration of thousands of routes. */
+/** Maximum length of a line between VMs, in characters: fits a configuration with thousands of routes. */
 const maxLineLength = 16_777_216;
 
-/** A connection between two VMs that carries one JSON message a line. */
+/** Connection between two VMs that carries one JSON message per line. */
 class LinePeerLink implements PeerLink {
-	#text = '';
+	#buffer = '';
 	#isOpen = true;
 
 	constructor(private readonly socket: Socket, private readonly getHandlers: () => PeerHandlers) {
 		socket.setNoDelay(true);
 		socket.setEncoding('utf8');
 		socket.on('data', (chunk: string) => {
-			this.#receive(chunk);
+			this.#handleData(chunk);
 		});
 		socket.on('error', () => {
 			// The close event follows.
@@ -42,28 +42,28 @@
 		this.socket.destroy();
 	}
 
-	#receive(chunk: string): void {
-		this.#text += chunk;
-		if (this.#text.length > maxLineLength) {
+	#handleData(chunk: string): void {
+		this.#buffer += chunk;
+		if (this.#buffer.length > maxLineLength) {
 			this.close();
 			return;
 		}
 
-		for (let end = this.#text.indexOf('\n'); end !== -1; end = this.#text.indexOf('\n')) {
-			const line = this.#text.slice(0, end);
-			this.#text = this.#text.slice(end + 1);
+		for (let end = this.#buffer.indexOf('\n'); end !== -1; end = this.#buffer.indexOf('\n')) {
+			const line = this.#buffer.slice(0, end);
+			this.#buffer = this.#buffer.slice(end + 1);
 			this.getHandlers().onMessage(parsePeerMessage(line));
 		}
 	}
 }
 
-/** Host and port of a listener. */
+/** Host and port of a TCP listener. */
 export type SocketAddress = {
 	readonly host: string;
 	readonly port: number;
 };
 
-/** Reads `HOST:PORT`. */
+/** Parses `HOST:PORT`; the host is all before the last colon. */
 export function parseSocketAddress(text: string): SocketAddress {
 	const colon = text.lastIndexOf(':');
 	return {host: text.slice(0, colon), port: Number(text.slice(colon + 1))};
--- a/packages/gateway/src/coordination/token-client.ts
+++ b/packages/gateway/src/coordination/token-client.ts
@@ -1,10 +1,10 @@
 import {type TokenGrants, type TokenDemands} from '@chicorysaddle/protocol/coordination';
 import {type PeerLink} from '../ports/index.js';
 
-/** Time for an answer about tokens, milliseconds: several round trips within a region. */
+/** Timeout of a token request, in milliseconds: several round trips within a region. */
 const responseTimeoutMs = 150;
 
-/** Asks another VM for tokens and waits for its answers. */
+/** Requests tokens from the coordinator and matches its grants to the requests. */
 export class TokenClient {
 	#sequence = 0;
 	readonly #pendingRequests = new Map<number, (grants: TokenGrants) => void>();
@@ -12,12 +12,12 @@
 	/** @param vm - Name of this VM. */
 	constructor(private readonly vm: string) {}
 
-	/** Asks for tokens; undefined when no answer comes in time. */
-	async requestTokens(link: PeerLink, wants: TokenDemands): Promise<TokenGrants | undefined> {
+	/** Requests tokens; resolves to undefined if no grant arrives in time. */
+	async requestTokens(link: PeerLink, demands: TokenDemands): Promise<TokenGrants | undefined> {
 		this.#sequence += 1;
 		const sequence = this.#sequence;
 		link.send({
-			kind: 'token-request', vm: this.vm, sequence, wants,
+			kind: 'token-request', vm: this.vm, sequence, wants: demands,
 		});
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
@@ -32,7 +32,7 @@
 		});
 	}
 
-	/** Takes in an answer; one that came too late counts for nothing. */
+	/** Resolves the request with this sequence number; ignores grants that arrive after the timeout. */
 	handleGrants(sequence: number, grants: TokenGrants): void {
 		this.#pendingRequests.get(sequence)?.(grants);
 	}
