--- a/packages/gateway/src/tests/coordination/coordinator-lease.test.ts
+++ b/packages/gateway/src/tests/coordination/coordinator-lease.test.ts
@@ -15,44 +15,44 @@
 	return {...JSON.parse(row.value) as {holder: string; incarnation: string; address: string; token: number}, version: row.version};
 }
 
-test.serial('a duty that was given up is not taken up again from a row that still names its former holder', async t => {
+test.serial('a lease that was ended is not resumed from a row that still names its former holder', async t => {
 	const [store, time] = [new FakeStore(), new VirtualTime()];
-	const keeper = createLease(store, time, 'vm1');
-	t.true(await time.waitFor(keeper.tryAcquire(undefined)));
-	keeper.stepDown();
-	keeper.resume(readCoordinatorRow(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
-	t.false(keeper.isHeld());
+	const lease = createLease(store, time, 'vm1');
+	t.true(await time.waitFor(lease.tryAcquire(undefined)));
+	lease.stepDown();
+	lease.resume(readCoordinatorRow(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
+	t.false(lease.isHeld());
 	t.true(await time.waitFor(createLease(store, time, 'vm2').tryAcquire(readCoordinatorRow(store))));
 	t.is(readCoordinatorRow(store).token, 2);
 	time.stop();
 });
 
-test.serial('a take-over whose answer was lost is found in the row', async t => {
+test.serial('an acquisition whose response was lost is resumed from the row', async t => {
 	const [store, time] = [new FakeStore(), new VirtualTime()];
-	const keeper = createLease(store, time, 'vm1');
+	const lease = createLease(store, time, 'vm1');
 	store.fault = 'answers-lost';
-	t.false(await time.waitFor(keeper.tryAcquire(undefined)));
-	t.false(keeper.isHeld());
-	keeper.resume(readCoordinatorRow(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
-	t.true(keeper.isHeld());
+	t.false(await time.waitFor(lease.tryAcquire(undefined)));
+	t.false(lease.isHeld());
+	lease.resume(readCoordinatorRow(store), {monotonicMs: time.now(), wallMs: time.getWallTime()});
+	t.true(lease.isHeld());
 	time.stop();
 });
 
-test.serial('a late answer to a take-over counts for nothing after the duty was found in the row and given up', async t => {
+test.serial('a late response to an acquisition is ignored after the lease was resumed from the row and ended', async t => {
 	const [store, time] = [new FakeStore(), new VirtualTime()];
-	const keeper = createLease(store, time, 'vm1');
-	const answer = keeper.tryAcquire(undefined);
+	const lease = createLease(store, time, 'vm1');
+	const acquisition = lease.tryAcquire(undefined);
 	const content = {
 		holder: 'vm1', incarnation: 'vm1-1', address: 'vm1:1', token: 1, version: 1,
 	};
-	keeper.resume(content, {monotonicMs: time.now(), wallMs: time.getWallTime()});
-	keeper.stepDown();
-	t.false(await time.waitFor(answer));
-	t.false(keeper.isHeld());
+	lease.resume(content, {monotonicMs: time.now(), wallMs: time.getWallTime()});
+	lease.stepDown();
+	t.false(await time.waitFor(acquisition));
+	t.false(lease.isHeld());
 	time.stop();
 });
 
-test.serial('the duty ends for its holder before another may take it', async t => {
+test.serial('the lease ends for its holder before another VM may acquire it', async t => {
 	const [store, time] = [new FakeStore(), new VirtualTime()];
 	const [holder, other] = [createLease(store, time, 'vm1'), createLease(store, time, 'vm2')];
 	await time.waitFor(holder.tryAcquire(undefined));
@@ -65,17 +65,17 @@
 	time.stop();
 });
 
-test.serial('rows are only written while the duty is held, and a lost answer is settled by reading back', async t => {
+test.serial('rows are written only while the lease is held, and a write whose response was lost is read back', async t => {
 	const [store, time] = [new FakeStore(), new VirtualTime()];
-	const keeper = createLease(store, time, 'vm1');
-	await time.waitFor(keeper.tryAcquire(undefined));
+	const lease = createLease(store, time, 'vm1');
+	await time.waitFor(lease.tryAcquire(undefined));
 	store.fault = 'answers-lost';
-	const version = await time.waitFor(keeper.writeRowsIfHeld([{key: 'group/db', expectedVersion: 0, value: 'x'}]));
+	const version = await time.waitFor(lease.writeRowsIfHeld([{key: 'group/db', expectedVersion: 0, value: 'x'}]));
 	t.is(version, store.rows.get('group/db')!.version);
 	store.fault = 'none';
 	await time.waitFor(createLease(store, time, 'vm2').tryAcquire(readCoordinatorRow(store)));
-	t.is(await time.waitFor(keeper.writeRowsIfHeld([{key: 'group/db', expectedVersion: version!, value: 'y'}])), undefined);
+	t.is(await time.waitFor(lease.writeRowsIfHeld([{key: 'group/db', expectedVersion: version!, value: 'y'}])), undefined);
 	t.is(store.rows.get('group/db')!.value, 'x');
-	t.false(keeper.isHeld());
+	t.false(lease.isHeld());
 	time.stop();
 });
