--- a/packages/gateway/src/dispatch/dispatcher.ts
+++ b/packages/gateway/src/dispatch/dispatcher.ts
@@ -16,7 +16,7 @@
 	readonly request: PlacementRequest;
 	readonly excluded: Set<string>;
 	readonly queuedAt: number;
-	/** Where a connection is being opened on its behalf; any other that is free first serves it as well. */
+	/** Pool that is opening a connection for it; another connection that becomes free first is used instead. */
 	openingPool: InstancePool | undefined;
 	readonly settle: (result: PlacementResult) => void;
 };
@@ -28,57 +28,57 @@
 	readonly isPrimary: boolean;
 };
 
-/** Interval at which waiting requests are looked through for passed deadlines, milliseconds. */
+/** Interval between checks of the waiting requests for expired deadlines, milliseconds. */
 const sweepIntervalMs = 20;
 
-/** Cost of a new connection beside a warm one, milliseconds: the handshake that a deployment states. */
+/** Cost of a new connection compared with an open one, milliseconds: the handshake time that a deployment states. */
 const openCostMs = 14;
 
-/** Cost of another availability zone, milliseconds: a round trip, and bytes that are paid for. */
+/** Cost of an instance in another availability zone, milliseconds: a round trip, and traffic that is billed. */
 const crossZoneCostMs = 4;
 
-/** Time for which an account waits for a connection before another account's is closed while that is in use, milliseconds: a few handshakes. */
+/** Time that a request waits before it may evict an idle connection that other accounts still use, milliseconds: a few handshakes. */
 const evictionDelayMs = 60;
 
-/** Factor on the estimate of a primary, which alone can take writes. */
+/** Factor on the estimated latency of reads on a primary, because only the primary can take writes. */
 const primaryReadCostFactor = 1.5;
 
-/** Idle time after which a connection beyond the kept ones is closed, milliseconds. */
+/** Idle time after which a connection above the kept number is closed, milliseconds. */
 const idleConnectionTimeoutMs = 1000;
 
-/** Interval at which idle connections are looked through, milliseconds. */
+/** Interval between checks for idle connections, milliseconds. */
 const trimIntervalMs = 500;
 
-/** Part of a VM's connections that is kept while idle: an instance counts those of VMs that lost power until it misses them, and their successors need room. */
+/** Fraction of a VM's connections that stay open while idle. An instance counts the connections of VMs that lost power until it detects the loss, and their successors need room. */
 const keptFraction = 0.5;
 
-/** Time for which an instance goes on counting connections of a VM that lost power, milliseconds. */
+/** Time for which an instance still counts the connections of a VM that lost power, milliseconds. */
 const staleConnectionTimeoutMs = 3000;
 
-/** Part of its connections that a process opens while those of its predecessor may linger: more than what is kept idle is not free. */
+/** Fraction of its connections that a process opens while the instance may still count those of its predecessor: what VMs keep open while idle is not free. */
 const startupFraction = 0.2;
 
-/** Time by which others have to have heard a primary later than this VM, milliseconds: more than an answer takes. */
+/** Time after this VM lost the primary from which an answer to another VM proves a partition, milliseconds: longer than an answer takes. */
 const partitionConfirmationMs = 200;
 
-/** Time that is told to a caller whom another VM can serve, milliseconds. */
+/** Retry delay given to a caller that another VM can serve, milliseconds. */
 const partitionRetryMs = 20;
 
-/** Time without a term lease for which statements wait for one, milliseconds: several times what a started process takes for it. */
+/** Time for which statements wait for a missing term lease, milliseconds: several times what a new process needs to acquire one. */
 const maxMissingLeaseMs = 400;
 
-/** Time that is told to a caller, on average, of a VM without a term lease, milliseconds: the interval at which a store that is away is asked. */
+/** Mean retry delay given to a caller of a VM without a term lease, milliseconds: the interval at which an unreachable store is polled. */
 const missingLeaseRetryMs = 800;
 
-/** Time that is told to a caller for whom there was no place, milliseconds. */
+/** Retry delay given to a caller whose request expired in the queue, milliseconds. */
 const retryAfterMs = 200;
 
-/** Time until a VM may have learnt that an instance is draining, with the way of its last statement, milliseconds. */
+/** Longest time until a VM knows that an instance is draining, including the transit of its last statement, milliseconds. */
 const drainPropagationMs = 2500;
 
 const queuePriorities: readonly Priority[] = ['high', 'high', 'normal'];
 
-/** What a dispatcher works with. */
+/** Dependencies of a dispatcher. */
 export type DispatcherDependencies = {
 	readonly configuration: ConfigurationView;
 	readonly instances: InstanceRegistry;
@@ -89,19 +89,19 @@
 	readonly log: EventLog;
 	/** Availability zone of this VM. */
 	readonly zone: string;
-	/** Returns numbers from zero up to one. */
+	/** Returns a random number in [0, 1). */
 	readonly random: () => number;
 	readonly getSettings: AdjustableSettingsSource;
 };
 
-/** Finds a connection for each statement and transaction, in the order of priority and fairness. */
+/** Assigns connections to statements and transactions, by priority and fairly between client accounts. */
 export class Dispatcher {
 	readonly #pools = new Map<string, InstancePool>();
 	readonly #queues = new Map<string, FairQueue<Waiter>>();
 	readonly #waiters = new Map<string, Set<Waiter>>();
-	/** Pace of the queues by group and target. */
+	/** Wait estimators by target and group. */
 	readonly #estimators = new Map<string, WaitEstimator>();
-	/** Groups that are looked through now, with whether to look again. */
+	/** Groups that are being dispatched, with whether another pass is needed. */
 	readonly #dispatchingGroups = new Map<string, boolean>();
 	#memberCount = 1;
 	readonly #startedAt: number;
@@ -125,9 +125,9 @@
 		}, trimIntervalMs).unref();
 	}
 
-	/** Sets how many VMs share the connections of an instance. */
-	setMemberCount(members: number): void {
-		this.#memberCount = Math.max(1, members);
+	/** Sets the number of VMs that share the connections of an instance. */
+	setMemberCount(memberCount: number): void {
+		this.#memberCount = Math.max(1, memberCount);
 	}
 
 	getTracker(instanceId: string): InstanceTracker | undefined {
@@ -135,8 +135,8 @@
 	}
 
 	/**
-	 * Describes connections and their use by instance, and how an instance lately had no room, for the log.
-	 * @param group - Group to describe, all where it is absent.
+	 * Formats the busy and open connections of each instance, and its last overload, for the log.
+	 * @param group - Group of the instances; all groups if absent.
 	 */
 	describePools(group?: string): string {
 		return [...this.#pools.values()].filter(({instance}) => group === undefined || instance.group === group).map(pool => pool.describe(this.dependencies.clock.now())).join(' ');
@@ -151,7 +151,7 @@
 		return count;
 	}
 
-	/** Waits for a connection. */
+	/** Waits for a connection; refuses the request when its deadline cannot be met. */
 	async acquire(request: PlacementRequest): Promise<PlacementResult> {
 		return new Promise(resolve => {
 			const queuedAt = this.dependencies.clock.now();
@@ -174,7 +174,7 @@
 		});
 	}
 
-	/** Refuses everything that waits for a place. */
+	/** Refuses all waiting requests. */
 	refuseWaiting(refusal: Refusal): void {
 		for (const [group, waiters] of this.#waiters) {
 			for (const waiter of waiters) {
@@ -185,14 +185,14 @@
 	}
 
 	/**
-	 * Gives a connection back.
-	 * @param isClean - Whether it is outside a transaction and nothing is under way on it.
+	 * Returns a connection to its pool.
+	 * @param isClean - Whether the connection is outside a transaction and has no statement in flight.
 	 */
-	release(place: Placement, isClean: boolean): void {
-		place.pool.release(place.connection, isClean);
+	release(placement: Placement, isClean: boolean): void {
+		placement.pool.release(placement.connection, isClean);
 	}
 
-	/** Refuses what needs a primary that this VM will not be able to use for a while. */
+	/** Returns the refusal of a request whose primary this VM cannot use for a while. */
 	#checkPrimary(request: PlacementRequest): Refusal | undefined {
 		if (request.target === 'primary' && this.dependencies.terms.getMsWithoutLease() > maxMissingLeaseMs) {
 			return refusals.primaryUnavailable(request.group, missingLeaseRetryMs * (0.5 + this.dependencies.random()));
@@ -201,7 +201,7 @@
 		return this.#isPartitionedFromPrimary(request) ? refusals.primaryUnavailable(request.group, partitionRetryMs) : undefined;
 	}
 
-	/** Says whether this VM cannot reach a primary that others do reach: their callers' statements are served, ours are not. */
+	/** Returns whether this VM cannot reach a primary that other VMs reach, so that those can serve the caller. */
 	#isPartitionedFromPrimary(request: PlacementRequest): boolean {
 		const primaryId = request.target === 'primary' ? this.dependencies.terms.getUsablePrimary(request.group) : undefined;
 		const tracker = primaryId === undefined ? undefined : this.getTracker(primaryId);
@@ -213,7 +213,7 @@
 		return this.dependencies.clock.now() - newest.ageMs > tracker.failingSince + partitionConfirmationMs;
 	}
 
-	/** Refuses a request that would not get a place in time, as the queue moves now. */
+	/** Refuses a request whose estimated wait in the queue exceeds its deadline. */
 	#refuseIfTooLate(waiter: Waiter): void {
 		const {request} = waiter;
 		const waiting = this.#waiters.get(request.group);
@@ -222,10 +222,10 @@
 			return;
 		}
 
-		const rivals = [...waiting].filter(other => other !== waiter && other.request.target === request.target && other.request.priority <= request.priority);
-		const own = rivals.filter(other => other.request.account === request.account).length;
-		const accounts = new Set([request.account, ...rivals.map(other => other.request.account)]).size;
-		const waitMs = this.#getEstimator(request).estimateWaitMs(Math.min(rivals.length, own * accounts));
+		const competitors = [...waiting].filter(other => other !== waiter && other.request.target === request.target && other.request.priority <= request.priority);
+		const ownCount = competitors.filter(other => other.request.account === request.account).length;
+		const accountCount = new Set([request.account, ...competitors.map(other => other.request.account)]).size;
+		const waitMs = this.#getEstimator(request).estimateWaitMs(Math.min(competitors.length, ownCount * accountCount));
 		if (waitMs > request.deadline - this.dependencies.clock.now()) {
 			this.#queues.get(request.group)!.removeEntry(waiter);
 			this.dependencies.metrics.addCount('place_hopeless');
@@ -268,7 +268,7 @@
 		}
 	}
 
-	/** Places what can be placed; connections that are closed meanwhile make it look again instead of nesting. */
+	/** Assigns the free connections of a group. A connection that is closed meanwhile causes another pass instead of a recursive call. */
 	#dispatchGroup(group: string): void {
 		if (this.#dispatchingGroups.has(group)) {
 			this.#dispatchingGroups.set(group, true);
@@ -305,11 +305,11 @@
 
 			const {pool, idle, isPrimary} = candidate;
 			pool.acquire(idle);
-			this.#observePlaced(entry.value.request);
+			this.#recordPlacement(entry.value.request);
 			entry.value.settle({kind: 'placed', placement: {pool, connection: idle, isPrimary}});
 		}
 
-		// Nobody can use what is idle now, so that it may make room.
+		// No waiting request can use the connections that are idle now, so they may be evicted.
 		for (const waiter of this.#waiters.get(group)!) {
 			const candidate = this.#chooseCandidate(waiter, true);
 			if (candidate !== undefined && candidate.idle === undefined) {
@@ -318,7 +318,7 @@
 		}
 	}
 
-	/** Lets a read look elsewhere when the instance that it waits for a connection to answers nothing. */
+	/** Lets a read choose another instance when the one that it waits for is silent. */
 	#abandonSilentInstance(waiter: Waiter, now: number): void {
 		if (waiter.request.target === 'any' && waiter.openingPool?.tracker.getSilentSince(now) !== undefined) {
 			waiter.excluded.add(waiter.openingPool.instance.id);
@@ -326,7 +326,7 @@
 		}
 	}
 
-	#observePlaced(request: PlacementRequest): void {
+	#recordPlacement(request: PlacementRequest): void {
 		let left = -1;
 		for (const other of this.#waiters.get(request.group)!) {
 			left += other.request.target === request.target ? 1 : 0;
@@ -393,7 +393,7 @@
 		return isPossible ? {pool, idle, isPrimary} : undefined;
 	}
 
-	/** Says whether a primary that is draining may no longer be used, because no successor was found in time. */
+	/** Returns whether a draining primary may no longer be used because no successor took over in time. */
 	#isDrainOverdue(instance: Instance, now: number): boolean {
 		const since = this.dependencies.instances.getDrainingSince(instance.id);
 		return since !== undefined && now - since > this.dependencies.getSettings().drainMs - drainPropagationMs;
--- a/packages/gateway/src/dispatch/instance-pool.ts
+++ b/packages/gateway/src/dispatch/instance-pool.ts
@@ -4,18 +4,18 @@
 import {InstanceTracker} from './instance-tracker.js';
 import {PooledConnection} from './pooled-connection.js';
 
-/** Time within which a connection has to be open, milliseconds: a handshake behind a full queue at a busy instance. */
+/** Timeout for opening a connection, milliseconds: covers a handshake behind a full queue at a busy instance. */
 const connectTimeoutMs = 1500;
 
-/** What a pool works with. */
+/** Dependencies of a pool. */
 export type InstancePoolDependencies = {
 	readonly connector: InstanceConnector;
 	readonly clock: Clock;
 	readonly metrics: GatewayMetrics;
 	readonly log: EventLog;
-	/** Returns numbers from zero up to one. */
+	/** Returns a random number in [0, 1). */
 	readonly random: () => number;
-	/** Called when a connection is free again, or gone. */
+	/** Called when a connection was released or closed. */
 	readonly onConnectionFreed: () => void;
 };
 
@@ -30,7 +30,7 @@
 		this.tracker = new InstanceTracker(instance, dependencies.log, dependencies.random);
 	}
 
-	/** Statements and transactions that hold a connection. */
+	/** Number of connections in use or being opened. */
 	get busyCount(): number {
 		let count = this.#opening;
 		for (const connection of this.#connections) {
@@ -40,10 +40,10 @@
 		return count;
 	}
 
-	/** Describes busy and open connections, and why the instance had no room lately. */
+	/** Formats the busy and open connections and the reason of the last overload, for the log. */
 	describe(now: number): string {
-		const shortage = this.tracker.getOverloadReason(now);
-		return `${this.instance.id}:${this.busyCount}/${this.connectionCount}${shortage === undefined ? '' : `:${shortage}`}`;
+		const overload = this.tracker.getOverloadReason(now);
+		return `${this.instance.id}:${this.busyCount}/${this.connectionCount}${overload === undefined ? '' : `:${overload}`}`;
 	}
 
 	/** Whether a connection is being opened. */
@@ -55,7 +55,7 @@
 		return this.#connections.size + this.#opening;
 	}
 
-	/** Returns the idle connection of an account that was used last. */
+	/** Returns the most recently used idle connection of an account. */
 	findIdle(account: string): PooledConnection | undefined {
 		let newest: PooledConnection | undefined;
 		for (const connection of this.#connections) {
@@ -68,22 +68,23 @@
 	}
 
 	/**
-	 * Says whether a connection may be opened now.
-	 * @param limit - Connections that this VM may have here.
-	 * @param mayEvict - Whether an idle connection of another account may make room for it.
+	 * Returns whether a connection may be opened now.
+	 * @param limit - Largest number of connections of this VM to the instance.
+	 * @param mayEvict - Whether an idle connection of another account may be closed for it.
 	 */
 	canOpen(limit: number, mayEvict: boolean): boolean {
 		return this.connectionCount < limit || (mayEvict && this.#findEvictable() !== undefined);
 	}
 
+	/** Marks an idle connection as busy. */
 	acquire(connection: PooledConnection): void {
 		connection.isBusy = true;
 	}
 
 	/**
-	 * Opens a connection that is idle then.
-	 * @param limit - Connections that this VM may have here; at the limit the one that was idle longest makes room.
-	 * @returns Why there is none, undefined when it is open.
+	 * Opens a connection and leaves it idle.
+	 * @param limit - Largest number of connections of this VM to the instance; at the limit the one that is idle longest is closed first.
+	 * @returns The failure, undefined when the connection is open.
 	 */
 	async open(account: string, limit: number): Promise<ConnectFailure | undefined> {
 		const evicted = this.connectionCount < limit ? undefined : this.#findEvictable();
@@ -94,21 +95,21 @@
 
 		this.#opening += 1;
 		const startedAt = this.dependencies.clock.now();
-		const question = this.tracker.addPendingRequest('connection', startedAt);
+		const pendingRequest = this.tracker.addPendingRequest('connection', startedAt);
 		const result = await this.dependencies.connector.open(this.instance, account, connectTimeoutMs);
-		this.tracker.removePendingRequest(question);
+		this.tracker.removePendingRequest(pendingRequest);
 		this.#opening -= 1;
 		const now = this.dependencies.clock.now();
 		if (result.kind === 'failed') {
-			this.#observeFailure(result.failure, startedAt, now);
+			this.#recordFailure(result.failure, startedAt, now);
 			return result.failure;
 		}
 
 		this.dependencies.metrics.recordDuration('connect', now - startedAt);
-		this.tracker.observeAnswer(now);
+		this.tracker.recordAnswer(now);
 		if (this.#isClosed) {
 			result.connection.close();
-			return {reason: 'closed', message: 'the instance is gone'};
+			return {reason: 'closed', message: 'instance was removed while the connection was being opened; the connection is closed'};
 		}
 
 		const connection = new PooledConnection(result.connection, account);
@@ -121,7 +122,7 @@
 		return undefined;
 	}
 
-	/** Gives a connection back, or closes it when its state is not known. */
+	/** Makes a connection idle again, or closes it when its state is unknown. */
 	release(connection: PooledConnection, isClean: boolean): void {
 		connection.isBusy = false;
 		connection.lastUsedAt = this.dependencies.clock.now();
@@ -133,7 +134,7 @@
 		this.dependencies.onConnectionFreed();
 	}
 
-	/** Closes idle connections that were not used since a time: one that was as old went silent. */
+	/** Closes idle connections that were last used before a time, after a connection of that age stopped answering. */
 	closeIdleBefore(time: number): void {
 		for (const connection of this.#connections) {
 			if (!connection.isBusy && connection.lastUsedAt < time) {
@@ -144,8 +145,9 @@
 	}
 
 	/**
-	 * Closes connections that are idle for a while, down to a number.
-	 * @param kept - Connections that are kept.
+	 * Closes connections that were idle for too long, down to a number.
+	 * @param kept - Number of connections that stay open.
+	 * @param idleMs - Idle time after which a connection may be closed, milliseconds.
 	 */
 	closeIdle(kept: number, idleMs: number): void {
 		const now = this.dependencies.clock.now();
@@ -157,7 +159,7 @@
 		}
 	}
 
-	/** Closes every idle connection now, and the others as they are given back. */
+	/** Closes every idle connection now, and the others when they are released. */
 	close(): void {
 		this.#isClosed = true;
 		for (const connection of this.#connections) {
@@ -191,13 +193,13 @@
 		this.#connections.delete(connection);
 	}
 
-	#observeFailure(failure: ConnectFailure, startedAt: number, now: number): void {
+	#recordFailure(failure: ConnectFailure, startedAt: number, now: number): void {
 		this.dependencies.metrics.addCount(`connect_failed_${failure.reason}`);
 		if (failure.reason === 'connection-limit' || failure.reason === 'busy') {
-			this.tracker.observeAnswer(now);
-			this.tracker.observeOverload(failure.reason, now);
+			this.tracker.recordAnswer(now);
+			this.tracker.recordOverload(failure.reason, now);
 		} else {
-			this.tracker.observeFailure(failure.reason === 'silent' ? 'silent' : 'refused', startedAt, now);
+			this.tracker.recordFailure(failure.reason === 'silent' ? 'silent' : 'refused', startedAt, now);
 		}
 	}
 }
--- a/packages/gateway/src/dispatch/placement.ts
+++ b/packages/gateway/src/dispatch/placement.ts
@@ -2,18 +2,18 @@
 import {type PooledConnection} from './pooled-connection.js';
 import {type InstancePool} from './instance-pool.js';
 
-/** What a statement or a transaction needs an instance for. */
+/** Request for a connection on which a statement or a transaction can run. */
 export type PlacementRequest = {
 	readonly group: string;
 	readonly account: string;
 	readonly target: 'primary' | 'any';
-	/** Position that a replica has to hold. */
+	/** Log position that a replica must have reached. */
 	readonly requiredPosition: LogPosition | undefined;
 	/** Zero is the highest. */
 	readonly priority: number;
-	/** Steady time until which a place is of use, milliseconds. */
+	/** Monotonic time until which a connection is of use, milliseconds. */
 	readonly deadline: number;
-	/** Instances that are not to be tried, by id. */
+	/** Ids of instances that must not be used. */
 	readonly excluded: ReadonlySet<string>;
 };
 
@@ -25,5 +25,5 @@
 	readonly isPrimary: boolean;
 };
 
-/** A place, or why there is none. */
+/** A placement, or the refusal of the request. */
 export type PlacementResult = {readonly kind: 'placed'; readonly placement: Placement} | {readonly kind: 'refused'; readonly refusal: Refusal};
--- a/packages/gateway/src/dispatch/pooled-connection.ts
+++ b/packages/gateway/src/dispatch/pooled-connection.ts
@@ -1,23 +1,23 @@
 import {type PreparedAccess, type OutgoingStatement} from '../statements/index.js';
 import {type InstanceConnection} from '../ports/index.js';
 
-/** Values of a session that its statements rely on. */
+/** Session variables that are applied to a connection before a statement of the session runs on it. */
 export type SessionValues = {
 	readonly values: ReadonlyMap<string, string>;
-	/** Rises with each change of a value. */
+	/** Incremented with each change of a value. */
 	readonly valuesVersion: number;
 };
 
-/** A prepared statement as its caller prepared it. */
+/** A prepared statement as the caller defined it. */
 export type PreparedStatement = {
 	readonly access: PreparedAccess;
 	readonly shape: string;
 };
 
-/** Prepared statements that one connection keeps before it is reset. */
+/** Largest number of prepared statements on a connection; beyond it the connection is reset. */
 const maxPrepared = 100;
 
-/** A connection to an instance with what is known of its state there. */
+/** A connection to an instance, with the session state that was applied to it. */
 export class PooledConnection {
 	isBusy = false;
 	lastUsedAt = 0;
@@ -27,21 +27,21 @@
 
 	constructor(readonly instanceConnection: InstanceConnection, readonly account: string) {}
 
-	/** Says whether a session's values are in force, so that no statement has to be sent for them. */
+	/** Returns whether the values of a session are applied, so that no statement has to be sent for them. */
 	hasValuesOf(session: SessionValues): boolean {
 		return session.values.size === 0
 			? this.#valuesOwner === undefined
 			: this.#valuesOwner === session && this.#valuesVersion === session.valuesVersion;
 	}
 
-	/** Returns the name of a prepared statement on this connection. */
+	/** Returns the name of a prepared statement on this connection, undefined if it is not prepared there. */
 	getPreparedName(prepared: PreparedStatement): string | undefined {
 		return this.#prepared.get(formatPreparedKey(prepared));
 	}
 
 	/**
-	 * Returns the statements that put a session's values and a prepared statement in force, and takes them as sent.
-	 * When any of them fails the connection has to be closed.
+	 * Returns the statements that apply a session's values and define a prepared statement, and records them as sent.
+	 * If any of them fails, the connection has to be closed.
 	 */
 	createPreparation(session: SessionValues, prepared: PreparedStatement | undefined): OutgoingStatement[] {
 		const statements: OutgoingStatement[] = [];
@@ -70,7 +70,7 @@
 		return statements;
 	}
 
-	/** Forgets what was prepared, after the instance said that it does not know a name. */
+	/** Forgets all prepared statements, after the instance answered that a name is unknown. */
 	clearPrepared(): void {
 		this.#prepared.clear();
 	}
--- a/packages/gateway/src/sessions/statement-runner.ts
+++ b/packages/gateway/src/sessions/statement-runner.ts
@@ -8,17 +8,17 @@
 import {type Operation} from './operation.js';
 import {type SessionDependencies} from './session-dependencies.js';
 
-/** What a place did for a statement. */
+/** Result of a statement on an acquired connection. */
 export type RunResult =
 	| {readonly kind: 'completed'; readonly rows: readonly string[]; readonly signature: string; readonly state: SessionState; readonly position: LogPosition | undefined}
 	/** The statement did not run and may be sent elsewhere. */
 	| {readonly kind: 'not-run'; readonly reason: InstanceErrorKind | 'preparation-failed' | 'lease-ended'; readonly state: SessionState}
-	/** The statement ran and failed, with the state that the instance answered. */
+	/** The statement ran and failed; `state` is what the instance answered. */
 	| {readonly kind: 'failed'; readonly refusal: Refusal; readonly state: SessionState}
-	/** There was no answer. */
+	/** There was no complete answer. */
 	| {readonly kind: 'lost'; readonly reason: 'closed' | 'timeout'};
 
-/** Time to put a session's values in force, milliseconds: no slot is needed for it. */
+/** Timeout for applying a session's values, milliseconds: they need no slot of the instance. */
 const preparationTimeoutMs = 500;
 
 const refusalsByError: Readonly<Record<InstanceErrorKind, (message: string, timeoutMs: number) => Refusal | undefined>> = {
@@ -35,39 +35,38 @@
 	timeout: (_message, timeoutMs) => refusals.statementTimeout(timeoutMs),
 };
 
-/** Sends one statement at a time to a place and takes in what the answer tells about the instance. */
+/** Runs statements on an acquired connection and records what the answers show about the instance. */
 export class StatementRunner {
 	constructor(private readonly dependencies: SessionDependencies) {}
 
 	/**
 	 * Runs a statement of a caller.
-	 * @param prepared - What the statement executes, for prepared ones.
-	 * @param since - Position that the instance has to hold.
-	 * @param deadline - Steady time until which the answer is waited for.
+	 * @param prepared - Prepared statement that it executes, if any.
+	 * @param deadline - Monotonic time until which the answer is awaited, milliseconds.
 	 */
-	async run(place: Placement, operation: Operation, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
-		const isPrepared = await this.#prepare(place, operation, prepared);
+	async run(placement: Placement, operation: Operation, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
+		const isPrepared = await this.#prepare(placement, operation, prepared);
 		if (!isPrepared) {
 			return {kind: 'not-run', reason: 'preparation-failed', state: 'idle'};
 		}
 
 		const {clock, terms, metrics} = this.dependencies;
-		const {pool, connection} = place;
-		if (place.isPrimary && !await terms.waitUntilPrimaryIsUsable(operation.route.group, pool.instance.id)) {
+		const {pool, connection} = placement;
+		if (placement.isPrimary && !await terms.waitUntilPrimaryIsUsable(operation.route.group, pool.instance.id)) {
 			return {kind: 'not-run', reason: 'lease-ended', state: 'idle'};
 		}
 
 		const sentAt = clock.now();
-		const isChanging = place.isPrimary && (outgoing.statement.kind === 'commit' || outgoing.statement.kind === 'write' || prepared?.access === 'write');
-		if (isChanging) {
+		const canCommit = placement.isPrimary && (outgoing.statement.kind === 'commit' || outgoing.statement.kind === 'write' || prepared?.access === 'write');
+		if (canCommit) {
 			terms.beginWrite(operation.route.group);
 		}
 
-		const question = pool.tracker.addPendingRequest('statement', sentAt);
-		const [outcome] = await connection.instanceConnection.run([this.#resolvePreparedName(place, outgoing, prepared)], Math.max(1, deadline - sentAt));
-		pool.tracker.removePendingRequest(question);
-		if (isChanging) {
-			// After the continuation that passes the outcome on.
+		const pendingRequest = pool.tracker.addPendingRequest('statement', sentAt);
+		const [outcome] = await connection.instanceConnection.run([this.#resolvePreparedName(placement, outgoing, prepared)], Math.max(1, deadline - sentAt));
+		pool.tracker.removePendingRequest(pendingRequest);
+		if (canCommit) {
+			// The write has to stay open until the continuation that passes on the outcome has run.
 			setImmediate(() => {
 				terms.endWrite(operation.route.group);
 			});
@@ -75,45 +74,45 @@
 
 		const now = clock.now();
 		metrics.recordDuration('instance', now - sentAt);
-		pool.tracker.observeOutcome(outcome!, sentAt, now);
+		pool.tracker.recordOutcome(outcome!, sentAt, now);
 		if (outcome?.kind === 'broken' && outcome.reason === 'timeout') {
 			pool.closeIdleBefore(sentAt);
 		}
 
-		this.#observePosition(place, operation, outcome!, sentAt);
-		const result = this.#createResult(place, outgoing, outcome!, deadline - sentAt);
+		this.#recordPosition(placement, operation, outcome!, sentAt);
+		const result = this.#createResult(placement, outgoing, outcome!, deadline - sentAt);
 		operation.mayHaveRun ||= result.kind !== 'not-run';
 		return result;
 	}
 
-	async #prepare(place: Placement, operation: Operation, prepared: PreparedStatement | undefined): Promise<boolean> {
-		const preparation = place.connection.createPreparation(operation.session, prepared);
+	async #prepare(placement: Placement, operation: Operation, prepared: PreparedStatement | undefined): Promise<boolean> {
+		const preparation = placement.connection.createPreparation(operation.session, prepared);
 		if (preparation.length === 0) {
 			return true;
 		}
 
-		const outcomes = await place.connection.instanceConnection.run(preparation, preparationTimeoutMs);
-		const isDone = outcomes.every(outcome => outcome.kind === 'completed');
-		if (!isDone) {
-			// What is in force on the connection is not known any more.
-			place.connection.instanceConnection.close();
+		const outcomes = await placement.connection.instanceConnection.run(preparation, preparationTimeoutMs);
+		const isApplied = outcomes.every(outcome => outcome.kind === 'completed');
+		if (!isApplied) {
+			// The session state of the connection is unknown now.
+			placement.connection.instanceConnection.close();
 		}
 
-		return isDone;
+		return isApplied;
 	}
 
-	#resolvePreparedName(place: Placement, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined): OutgoingStatement {
-		const name = prepared === undefined ? undefined : place.connection.getPreparedName(prepared);
+	#resolvePreparedName(placement: Placement, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined): OutgoingStatement {
+		const name = prepared === undefined ? undefined : placement.connection.getPreparedName(prepared);
 		return name === undefined || outgoing.statement.kind !== 'execute' ? outgoing : {...outgoing, statement: {...outgoing.statement, name}};
 	}
 
-	#observePosition(place: Placement, operation: Operation, outcome: StatementOutcome, sentAt: number): void {
-		if (place.isPrimary && outcome.kind !== 'broken' && outcome.position !== undefined) {
+	#recordPosition(placement: Placement, operation: Operation, outcome: StatementOutcome, sentAt: number): void {
+		if (placement.isPrimary && outcome.kind !== 'broken' && outcome.position !== undefined) {
 			this.dependencies.terms.recordPosition(operation.route.group, outcome.position, sentAt);
 		}
 	}
 
-	#createResult(place: Placement, outgoing: OutgoingStatement, outcome: StatementOutcome, timeoutMs: number): RunResult {
+	#createResult(placement: Placement, outgoing: OutgoingStatement, outcome: StatementOutcome, timeoutMs: number): RunResult {
 		if (outcome.kind === 'completed') {
 			return outcome;
 		}
@@ -124,9 +123,9 @@
 
 		this.dependencies.metrics.addCount(`instance_error_${outcome.error}`);
 		if (outcome.error === 'lagging' && outgoing.since !== undefined) {
-			place.pool.tracker.observeLagging(outgoing.since, this.dependencies.clock.now());
+			placement.pool.tracker.recordLagging(outgoing.since, this.dependencies.clock.now());
 		} else if (outcome.error === 'no-statement') {
-			place.connection.clearPrepared();
+			placement.connection.clearPrepared();
 		}
 
 		const refusal = refusalsByError[outcome.error](outcome.message, timeoutMs);
@@ -136,7 +135,7 @@
 	}
 }
 
-/** Says whether a statement of a caller may change data. */
+/** Returns whether a statement of a caller may change data. */
 export function isWriteStatement(statement: Statement, prepared: PreparedStatement | undefined): boolean {
 	return statement.kind === 'write' || prepared?.access === 'write';
 }
--- a/packages/gateway/src/statements/outcome.ts
+++ b/packages/gateway/src/statements/outcome.ts
@@ -3,7 +3,7 @@
 	type SessionState, type Statement, type PreparedAccess, type TransactionAccess,
 } from './statement.js';
 
-/** Why an instance did not do a statement. */
+/** Error of a statement at an instance. */
 export type InstanceErrorKind =
 	| 'aborted'
 	| 'busy'
@@ -17,7 +17,7 @@
 	| 'timeout'
 	| 'wrong-instance';
 
-/** Statements that the gateway issues by itself. */
+/** Statements that the gateway itself issues. */
 export type ControlStatement =
 	| {readonly kind: 'control-begin'; readonly access: TransactionAccess}
 	| {readonly kind: 'control-roll-back' | 'control-reset' | 'control-status'}
@@ -25,16 +25,16 @@
 	| {readonly kind: 'control-prepare'; readonly name: string; readonly access: PreparedAccess; readonly shape: string}
 	| {readonly kind: 'control-step-down'; readonly term: number};
 
-/** A statement as it goes to an instance. */
+/** A statement as it is sent to an instance. */
 export type OutgoingStatement = {
-	/** Id that the caller gave, absent for control statements. */
+	/** Id given by the caller, absent for control statements. */
 	readonly id?: string;
 	readonly statement: Statement | ControlStatement;
-	/** Log position that the instance has to hold. */
+	/** Log position that the instance must have reached. */
 	readonly since?: LogPosition;
 };
 
-/** What became of a statement at an instance. */
+/** Result of a statement at an instance. */
 export type StatementOutcome =
 	| {
 		readonly kind: 'completed';
@@ -51,12 +51,12 @@
 		readonly position: LogPosition | undefined;
 	}
 	| {
-		/** No complete answer: the connection ended or the time ran out. */
+		/** No complete answer: the connection was closed or the timeout expired. */
 		readonly kind: 'broken';
 		readonly reason: 'closed' | 'timeout';
 	};
 
-/** How an instance sees itself. */
+/** Status that an instance reports about itself. */
 export type InstanceStatus = {
 	readonly role: 'primary' | 'replica';
 	readonly term: number;
--- a/packages/gateway/src/statements/statement.ts
+++ b/packages/gateway/src/statements/statement.ts
@@ -1,7 +1,7 @@
 /** Whether a transaction may write. */
 export type TransactionAccess = 'read-write' | 'read-only';
 
-/** What a prepared statement does. */
+/** Whether a prepared statement reads or writes. */
 export type PreparedAccess = 'read' | 'write';
 
 /** A statement of a session; `text` is what the caller sent. */
--- a/packages/gateway/src/tests/dispatch/dispatcher.test.ts
+++ b/packages/gateway/src/tests/dispatch/dispatcher.test.ts
@@ -3,9 +3,9 @@
 
 const {write} = statements;
 
-/** Sends writes of many accounts at a pace through all VMs, and returns how many were asked and served in each second. */
-async function load(cluster: TestCluster, vms: readonly string[], accounts: readonly string[], perS: number, forS: number): Promise<Array<{asked: number; served: number}>> {
-	const seconds = Array.from({length: forS}, () => ({asked: 0, served: 0}));
+/** Sends writes of many accounts at a constant rate through the VMs, and returns how many were sent and served in each second. */
+async function sendLoad(cluster: TestCluster, vms: readonly string[], accounts: readonly string[], ratePerS: number, durationS: number): Promise<Array<{asked: number; served: number}>> {
+	const seconds = Array.from({length: durationS}, () => ({asked: 0, served: 0}));
 	const startedAt = cluster.time.now();
 	const pending: Array<Promise<void>> = [];
 	let index = 0;
@@ -18,10 +18,10 @@
 		session.disconnect();
 	};
 
-	while (cluster.time.now() < startedAt + (forS * 1000)) {
+	while (cluster.time.now() < startedAt + (durationS * 1000)) {
 		const elapsed = cluster.time.now() - startedAt;
 		const second = seconds[Math.floor(elapsed / 1000)]!;
-		const due = Math.floor((elapsed / 1000) * perS) - index;
+		const due = Math.floor((elapsed / 1000) * ratePerS) - index;
 		pending.push(...Array.from({length: Math.max(0, due)}, async () => send(second)));
 
 		await cluster.time.advance(5);
@@ -31,7 +31,7 @@
 	return seconds;
 }
 
-test.serial('after a surge beyond its slots, many VMs and accounts let a primary recover instead of asking it all the time', async t => {
+test.serial('many VMs and accounts back off after a surge beyond the slots of a primary, so that it recovers', async t => {
 	const vms = Array.from({length: 40}, (_, index) => `vm${index + 1}`);
 	const accounts = Array.from({length: 40}, (_, index) => `account${index + 1}`);
 	const cluster = new TestCluster(vms);
@@ -44,9 +44,9 @@
 			name, keyDigests: [name], priority: 1, ratePerS: 1000, burst: 1000,
 		})),
 	}));
-	// Two slots do 77 new connections with one write each a second.
-	await load(cluster, vms, accounts, 600, 3);
-	const after = await load(cluster, vms, accounts, 55, 6);
+	// Two slots serve 77 new connections a second with one write each.
+	await sendLoad(cluster, vms, accounts, 600, 3);
+	const after = await sendLoad(cluster, vms, accounts, 55, 6);
 	for (const second of after.slice(2)) {
 		t.true(second.served >= second.asked * 0.9, `${second.served} of ${second.asked}`);
 	}
@@ -54,7 +54,7 @@
 	cluster.stop();
 });
 
-test.serial('after all VMs lost power each gets connections, though those of before are still counted', async t => {
+test.serial('after all VMs lost power each of them gets connections although the instance still counts the former ones', async t => {
 	const vms = Array.from({length: 7}, (_, index) => `vm${index + 1}`);
 	const accounts = Array.from({length: 8}, (_, index) => `account${index + 1}`);
 	const cluster = new TestCluster(vms);
@@ -67,21 +67,21 @@
 			name, keyDigests: [name], priority: 1, ratePerS: 1000, burst: 1000,
 		})),
 	}));
-	await load(cluster, vms, accounts, 60, 2);
+	await sendLoad(cluster, vms, accounts, 60, 2);
 	await cluster.time.advance(1600);
 	for (const {gateway} of cluster.gateways.values()) {
 		gateway.stop();
 	}
 
-	// What the instances count of the former processes.
-	const lingering = cluster.database.primary.connections.size;
-	t.true(lingering >= 14 && lingering < 28, `${lingering}`);
+	// Connections of the former processes that the primary still counts.
+	const staleCount = cluster.database.primary.connections.size;
+	t.true(staleCount >= 14 && staleCount < 28, `${staleCount}`);
 	for (const vm of vms) {
 		await cluster.startVm(vm);
 	}
 
 	await cluster.time.advance(200);
-	const byVm = await Promise.all(vms.map(async vm => load(cluster, [vm], accounts, 6, 2)));
+	const byVm = await Promise.all(vms.map(async vm => sendLoad(cluster, [vm], accounts, 6, 2)));
 	for (const [index, seconds] of byVm.entries()) {
 		for (const {asked, served} of seconds) {
 			t.true(served >= asked * 0.8, `${vms[index]}: ${served} of ${asked}`);
--- a/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
+++ b/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
@@ -19,8 +19,8 @@
 	}, log, () => random);
 }
 
-/** Returns how long after a time the instance is left alone. */
-function measurePause(tracker: InstanceTracker, from: number): number {
+/** Measures for how long after a time the instance is not used, milliseconds. */
+function measureBackoff(tracker: InstanceTracker, from: number): number {
 	let time = from;
 	while (!tracker.isUsable(time)) {
 		time += 1;
@@ -29,76 +29,76 @@
 	return time - from;
 }
 
-test('an instance without room is asked less and less, up to a bound, and at once again when it has room', t => {
+test('the backoff of an overloaded instance doubles up to a bound, and starts from the shortest again after it served statements', t => {
 	const tracker = createTracker();
-	const pauses: number[] = [];
+	const backoffs: number[] = [];
 	for (let now = 0, round = 0; round < 8; round++) {
-		tracker.observeOutcome(busy, now, now);
-		pauses.push(measurePause(tracker, now));
-		now += pauses.at(-1)!;
+		tracker.recordOutcome(busy, now, now);
+		backoffs.push(measureBackoff(tracker, now));
+		now += backoffs.at(-1)!;
 	}
 
-	t.deepEqual(pauses, [15, 30, 60, 120, 240, 480, 480, 480]);
+	t.deepEqual(backoffs, [15, 30, 60, 120, 240, 480, 480, 480]);
 	for (let round = 0; round < 8; round++) {
-		tracker.observeOutcome(done, 10_000, 10_010);
+		tracker.recordOutcome(done, 10_000, 10_010);
 	}
 
-	tracker.observeOutcome(busy, 20_000, 20_000);
-	t.is(measurePause(tracker, 20_000), 15);
+	tracker.recordOutcome(busy, 20_000, 20_000);
+	t.is(measureBackoff(tracker, 20_000), 15);
 });
 
-test('two VMs do not come back at the same moment', t => {
+test('the backoff differs between two VMs', t => {
 	const [early, late] = [createTracker(0), createTracker(0.99)];
 	for (const tracker of [early, late]) {
-		tracker.observeOutcome(busy, 0, 0);
-		tracker.observeOutcome(busy, 0, 0);
+		tracker.recordOutcome(busy, 0, 0);
+		tracker.recordOutcome(busy, 0, 0);
 	}
 
-	t.true(measurePause(late, 0) > measurePause(early, 0) * 2);
+	t.true(measureBackoff(late, 0) > measureBackoff(early, 0) * 2);
 });
 
-test('while an instance has no room one statement at a time is sent to it', t => {
+test('an overloaded instance gets one statement at a time', t => {
 	const tracker = createTracker();
-	const question = tracker.addPendingRequest('statement', 0);
+	const request = tracker.addPendingRequest('statement', 0);
 	t.false(tracker.isSaturated());
-	tracker.observeOutcome(busy, 0, 0);
-	tracker.observeOutcome(busy, 0, 0);
+	tracker.recordOutcome(busy, 0, 0);
+	tracker.recordOutcome(busy, 0, 0);
 	t.true(tracker.isSaturated());
-	tracker.removePendingRequest(question);
+	tracker.removePendingRequest(request);
 	t.false(tracker.isSaturated());
 });
 
-test('silence counts from the question, unless something was answered since', t => {
+test('silence is counted from the time of the request, unless there was an answer since', t => {
 	const tracker = createTracker();
-	tracker.observeOutcome(done, 100, 110);
-	tracker.observeFailure('silent', 105, 900);
+	tracker.recordOutcome(done, 100, 110);
+	tracker.recordFailure('silent', 105, 900);
 	t.is(tracker.failingSince, undefined);
-	tracker.observeFailure('silent', 200, 900);
+	tracker.recordFailure('silent', 200, 900);
 	t.is(tracker.failingSince, 200);
-	tracker.observeAnswer(1000);
+	tracker.recordAnswer(1000);
 	t.is(tracker.failingSince, undefined);
 });
 
-test('an instance is doubted when nothing was answered since a question, and not while it answers others', t => {
+test('an instance is silent when nothing was answered since a request, and not while it answers others', t => {
 	const tracker = createTracker();
-	const question = tracker.addPendingRequest('connection', 100);
+	const request = tracker.addPendingRequest('connection', 100);
 	t.is(tracker.getSilentSince(399), undefined);
 	t.is(tracker.getSilentSince(400), 100);
 	t.is(tracker.createEvidence('vm1', 400).failingSince, 100);
-	tracker.observeAnswer(410);
+	tracker.recordAnswer(410);
 	t.is(tracker.getSilentSince(900), undefined);
 	const later = tracker.addPendingRequest('statement', 500);
 	t.is(tracker.getSilentSince(850), 500);
 	tracker.removePendingRequest(later);
-	tracker.removePendingRequest(question);
+	tracker.removePendingRequest(request);
 	t.is(tracker.getSilentSince(5000), undefined);
 });
 
-test('one connection that is closed under a statement does not keep others from the instance', t => {
+test('an instance stays usable after one connection was closed during a statement', t => {
 	const tracker = createTracker();
-	tracker.observeOutcome({kind: 'broken', reason: 'closed'}, 100, 120);
+	tracker.recordOutcome({kind: 'broken', reason: 'closed'}, 100, 120);
 	t.true(tracker.isUsable(121));
 	t.is(tracker.failingSince, undefined);
-	tracker.observeFailure('refused', 130, 131);
+	tracker.recordFailure('refused', 130, 131);
 	t.is(tracker.failingSince, 131);
 });
