--- a/packages/gateway/src/sessions/autocommit-runner.ts
+++ b/packages/gateway/src/sessions/autocommit-runner.ts
@@ -10,65 +10,65 @@
 	| {readonly kind: 'completed'; readonly rows: readonly string[]; readonly signature: string; readonly position: LogPosition | undefined; readonly isCommit: boolean}
 	| {readonly kind: 'refused'; readonly refusal: Refusal};
 
-/** Instances that one statement is offered to before it is refused. */
+/** Largest number of attempts to run a statement before it is refused. */
 const maxAttempts = 6;
 
-/** Part of a route's timeout for which a statement may wait for a place; the rest is left for running it. */
+/** Fraction of a route's timeout for which a statement may wait for a connection; the rest is left for running it. */
 const maxWaitFraction = 0.7;
 
-/** Time that is told to a caller whose statement no instance took, milliseconds. */
+/** Retry delay given to a caller whose statement no instance accepted, milliseconds. */
 const retryAfterMs = 200;
 
-/** Interval at which a read's instance is looked at, milliseconds. */
+/** Interval between checks whether the instance of a read is silent, milliseconds. */
 const silenceCheckIntervalMs = 50;
 
-/** One offer of a statement to an instance. */
+/** One attempt to run a statement on an instance. */
 type Attempt = {
 	readonly operation: Operation;
 	readonly request: StatementRequest;
 	readonly prepared: PreparedStatement | undefined;
 	readonly isWrite: boolean;
 	readonly number: number;
-	/** Instances that are not to be tried, by id. */
+	/** Ids of instances that must not be used. */
 	readonly excluded: Set<string>;
-	/** Where it runs, once it does. */
+	/** Set once a connection was acquired. */
 	placement: Placement | undefined;
 };
 
-/** Runs statements outside transactions: on any instance that is fresh enough, and again elsewhere while that is safe. */
+/** Runs statements outside transactions on any instance that is fresh enough, and retries them on another one where that is safe. */
 export class AutocommitRunner {
 	constructor(private readonly dependencies: SessionDependencies, private readonly runner: StatementRunner) {}
 
-	/** Runs one statement to its final answer. */
+	/** Runs one statement and returns its final outcome. */
 	async run(operation: Operation, request: StatementRequest, prepared: PreparedStatement | undefined): Promise<OperationOutcome> {
 		const isWrite = isWriteStatement(request.statement, prepared);
 		const excluded = new Set<string>();
 		const {route, startedAt} = operation;
 		const deadline = startedAt + route.statementTimeoutMs;
-		const doubtful = new Set<Promise<OperationOutcome | undefined>>();
+		const unanswered = new Set<Promise<OperationOutcome | undefined>>();
 		for (let number = 0; number < maxAttempts && this.dependencies.clock.now() < deadline; number++) {
 			const attempt: Attempt = {
 				operation, request, prepared, isWrite, number, excluded, placement: undefined,
 			};
-			const trying = this.#runAttempt(attempt);
-			const outcome = await (isWrite ? trying : this.#waitForOutcome(attempt, trying, doubtful));
+			const running = this.#runAttempt(attempt);
+			const outcome = await (isWrite ? running : this.#waitForOutcome(attempt, running, unanswered));
 			if (outcome === 'doubtful') {
-				// It may still answer; whichever does first is taken.
-				doubtful.add(trying);
+				// This attempt may still be answered; the first answer of all attempts is used.
+				unanswered.add(running);
 				excluded.add(attempt.placement!.pool.instance.id);
 				this.dependencies.metrics.addCount('read_doubted');
-			} else if (outcome !== undefined && (outcome.kind === 'completed' || doubtful.size === 0)) {
+			} else if (outcome !== undefined && (outcome.kind === 'completed' || unanswered.size === 0)) {
 				return outcome;
 			} else if (outcome !== undefined) {
 				break;
 			}
 		}
 
-		return await getFirstOutcome(doubtful) ?? {kind: 'refused', refusal: refusals.overloaded(route.group, retryAfterMs)};
+		return await getFirstOutcome(unanswered) ?? {kind: 'refused', refusal: refusals.overloaded(route.group, retryAfterMs)};
 	}
 
-	/** Waits for an attempt at a read, an earlier one that was doubted, or a reason to doubt this one. */
-	async #waitForOutcome(attempt: Attempt, trying: Promise<OperationOutcome | undefined>, doubtful: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | 'doubtful' | undefined> {
+	/** Waits for the outcome of a read attempt or of an earlier unanswered one; returns `doubtful` when the instance falls silent first. */
+	async #waitForOutcome(attempt: Attempt, running: Promise<OperationOutcome | undefined>, unanswered: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | 'doubtful' | undefined> {
 		return new Promise((resolve, reject) => {
 			const timer = setInterval(() => {
 				if (attempt.placement?.pool.tracker.getSilentSince(this.dependencies.clock.now()) !== undefined) {
@@ -76,63 +76,63 @@
 					resolve('doubtful');
 				}
 			}, silenceCheckIntervalMs);
-			trying.then(outcome => {
+			running.then(outcome => {
 				clearInterval(timer);
 				resolve(outcome);
 			}).catch((error: unknown) => {
 				clearInterval(timer);
 				reject(error instanceof Error ? error : new Error(String(error)));
 			});
-			for (const earlier of doubtful) {
+			for (const earlier of unanswered) {
 				earlier.then(outcome => {
 					if (outcome !== undefined) {
 						clearInterval(timer);
 						resolve(outcome);
 					}
 				}).catch(() => {
-					// It was reported when it was the newest attempt.
+					// The error was reported when this was the newest attempt.
 				});
 			}
 		});
 	}
 
-	/** Offers the statement to one instance; undefined when it may be tried again. */
+	/** Runs the statement on one instance; returns undefined when it may be retried. */
 	async #runAttempt(attempt: Attempt): Promise<OperationOutcome | undefined> {
 		const {operation, request, prepared, isWrite, number, excluded} = attempt;
 		const {route, startedAt} = operation;
 		const deadline = startedAt + route.statementTimeoutMs;
-		const since = isWrite ? undefined : getRequiredPosition(operation, this.dependencies.terms);
+		const requiredPosition = isWrite ? undefined : getRequiredPosition(operation, this.dependencies.terms);
 		const acquired = await this.dependencies.dispatcher.acquire({
-			group: route.group, account: operation.account, target: since === undefined ? 'primary' : 'any', requiredPosition: since, priority: route.priority,
+			group: route.group, account: operation.account, target: requiredPosition === undefined ? 'primary' : 'any', requiredPosition, priority: route.priority,
 			deadline: startedAt + (route.statementTimeoutMs * maxWaitFraction), excluded,
 		});
 		if (acquired.kind === 'refused') {
 			return acquired;
 		}
 
-		const {placement: place} = acquired;
-		attempt.placement = place;
-		const outgoing = {id: request.id, statement: request.statement, ...(!place.isPrimary && since !== undefined && {since})};
-		const result = await this.runner.run(place, operation, outgoing, prepared, deadline);
-		this.dependencies.dispatcher.release(place, result.kind !== 'lost' && result.state === 'idle');
-		const outcome = await this.#resolveOutcome(operation, place, result, isWrite);
+		const {placement} = acquired;
+		attempt.placement = placement;
+		const outgoing = {id: request.id, statement: request.statement, ...(!placement.isPrimary && requiredPosition !== undefined && {since: requiredPosition})};
+		const result = await this.runner.run(placement, operation, outgoing, prepared, deadline);
+		this.dependencies.dispatcher.release(placement, result.kind !== 'lost' && result.state === 'idle');
+		const outcome = await this.#resolveOutcome(operation, placement, result, isWrite);
 		if (outcome === undefined) {
 			this.dependencies.log.logEvent('statement.retried', {
-				request: request.id, group: route.group, instance: place.pool.instance.id, attempt: number, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
-				isPrimary: place.isPrimary, since: since === undefined ? undefined : `${since.term}.${since.offset}`, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
+				request: request.id, group: route.group, instance: placement.pool.instance.id, attempt: number, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
+				isPrimary: placement.isPrimary, since: requiredPosition === undefined ? undefined : `${requiredPosition.term}.${requiredPosition.offset}`, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
 			});
-			if (!place.isPrimary || result.kind === 'lost') {
-				excluded.add(place.pool.instance.id);
+			if (!placement.isPrimary || result.kind === 'lost') {
+				excluded.add(placement.pool.instance.id);
 			}
 		}
 
 		return outcome;
 	}
 
-	/** Returns the final answer, or undefined when the statement may be tried again. */
-	async #resolveOutcome(operation: Operation, place: Placement, result: RunResult, isWrite: boolean): Promise<OperationOutcome | undefined> {
+	/** Returns the final outcome, or undefined when the statement may be retried. */
+	async #resolveOutcome(operation: Operation, placement: Placement, result: RunResult, isWrite: boolean): Promise<OperationOutcome | undefined> {
 		if (result.kind === 'completed') {
-			if (isWrite && !await this.dependencies.terms.waitUntilWriteIsSafe(operation.route.group, place.pool.instance.id)) {
+			if (isWrite && !await this.dependencies.terms.waitUntilWriteIsSafe(operation.route.group, placement.pool.instance.id)) {
 				return {kind: 'refused', refusal: refusals.outcomeUnknown('the term ended while the write was under way')};
 			}
 
@@ -151,12 +151,12 @@
 	}
 }
 
-/** Describes an answer that never came to the caller of a statement that may have run. */
+/** Creates the refusal of a statement that may have run but was not answered. */
 export function createLostAnswerRefusal(operation: Operation, reason: 'closed' | 'timeout'): Refusal {
 	return reason === 'timeout' ? refusals.statementTimeout(operation.route.statementTimeoutMs) : refusals.outcomeUnknown('the instance closed the connection');
 }
 
-/** Returns the first answer of several attempts, undefined when none has any. */
+/** Returns the first outcome of several attempts, undefined when none has one. */
 async function getFirstOutcome(attempts: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | undefined> {
 	if (attempts.size === 0) {
 		return undefined;
@@ -166,13 +166,13 @@
 		return await Promise.any([...attempts].map(async attempt => {
 			const outcome = await attempt;
 			if (outcome === undefined) {
-				throw new Error('no answer');
+				throw new Error('the attempt ended without an outcome');
 			}
 
 			return outcome;
 		}));
 	} catch {
-		// Every attempt ended without an answer.
+		// Every attempt ended without an outcome.
 		return undefined;
 	}
 }
--- a/packages/gateway/src/sessions/caller-session.ts
+++ b/packages/gateway/src/sessions/caller-session.ts
@@ -11,15 +11,15 @@
 
 type StatementHandler = (request: StatementRequest, startedAt: number) => Promise<void> | void;
 
-/** Statements that a caller may have waiting behind the one that runs. */
+/** Largest number of statements of a caller that wait behind the running one. */
 const maxWaitingStatements = 64;
 
-/** Rest after which a session that is to end is closed, milliseconds: longer than callers take between two statements in a row. */
+/** Idle time after which a closing session is closed, milliseconds: longer than callers take between two consecutive statements. */
 const idleBeforeCloseMs = 80;
 
 const acceptedInFailedTransaction: ReadonlySet<StatementKind> = new Set(['commit', 'roll-back']);
 
-/** One caller's session: it lives as long as its connection. */
+/** The session of one caller, which lasts as long as its connection. */
 export class CallerSession implements SessionValues {
 	readonly values = new Map<string, string>();
 	valuesVersion = 0;
@@ -81,8 +81,8 @@
 	}
 
 	/**
-	 * Checks who the caller is and whether the database is there.
-	 * @returns Why the session cannot be opened, if it cannot.
+	 * Opens the session if the database exists and the caller's key grants access to it.
+	 * @returns The refusal, undefined when the session is open.
 	 */
 	open(): Refusal | undefined {
 		const route = this.dependencies.configuration.getRoute(this.identity.database);
@@ -98,7 +98,7 @@
 		return undefined;
 	}
 
-	/** Takes in a statement of the caller. */
+	/** Queues a statement of the caller; closes the connection when too many wait. */
 	handleStatement(request: StatementRequest): void {
 		if (this.#waiting.length >= maxWaitingStatements) {
 			this.caller.close();
@@ -117,12 +117,12 @@
 		this.#closeIfIdle();
 	}
 
-	/** Closes the session when the operation that comes next, or the one under way, is done. */
+	/** Closes the session after the running operation, or else after the next one. */
 	closeAfterOperation(): void {
 		this.#isClosing = true;
 	}
 
-	/** Closes the session as soon as it is idle, if its key no longer opens its database. */
+	/** Closes the session as soon as it is idle if its key no longer grants access to its database. */
 	closeIfRevoked(): void {
 		const route = this.dependencies.configuration.getRoute(this.identity.database);
 		if (route === undefined || chooseAccountName(route, this.#getAccount()) === undefined) {
@@ -130,7 +130,7 @@
 		}
 	}
 
-	/** Refuses every statement from now on, and ends an open transaction. */
+	/** Refuses all further statements and rolls back an open transaction. */
 	refuseStatements(refusal: Refusal): void {
 		this.#closingRefusal = refusal;
 		this.#isClosing = true;
@@ -141,7 +141,7 @@
 		this.#closeIfIdle();
 	}
 
-	/** Takes in that the caller is gone. */
+	/** Ends the session and its transaction after the caller's connection was closed. */
 	handleCallerClosed(): void {
 		if (!this.#isClosed) {
 			this.#isClosed = true;
@@ -193,9 +193,9 @@
 			return;
 		}
 
-		const begun = await this.#admitOperation(request, startedAt);
-		if (begun.kind === 'refused') {
-			this.#refuse(request, begun.refusal, begun.isFinal);
+		const admission = await this.#admitOperation(request, startedAt);
+		if (admission.kind === 'refused') {
+			this.#refuse(request, admission.refusal, admission.isFinal);
 			return;
 		}
 
@@ -204,7 +204,7 @@
 			return;
 		}
 
-		this.#transaction = new Transaction(this.dependencies, this.#runner, begun.operation, statement.kind === 'begin' ? statement.access : 'read-write');
+		this.#transaction = new Transaction(this.dependencies, this.#runner, admission.operation, statement.kind === 'begin' ? statement.access : 'read-write');
 		this.#state = 'in-transaction';
 		this.#acknowledge();
 	}
@@ -270,14 +270,14 @@
 			return;
 		}
 
-		const begun = await this.#admitOperation(request, startedAt);
-		if (begun.kind === 'refused') {
-			this.#refuse(request, begun.refusal, begun.isFinal);
+		const admission = await this.#admitOperation(request, startedAt);
+		if (admission.kind === 'refused') {
+			this.#refuse(request, admission.refusal, admission.isFinal);
 			return;
 		}
 
-		const outcome = await this.#autocommit.run(begun.operation, request, prepared);
-		this.#refundIfNotRun(begun.operation, outcome);
+		const outcome = await this.#autocommit.run(admission.operation, request, prepared);
+		this.#releaseIfNotRun(admission.operation, outcome);
 		this.#answer(request, outcome);
 	}
 
@@ -287,7 +287,7 @@
 			? await transaction.run(request, prepared)
 			: {outcome: {kind: 'refused', refusal}, isOpen: false};
 		if (!isOpen) {
-			this.#refundIfNotRun(transaction.operation, outcome);
+			this.#releaseIfNotRun(transaction.operation, outcome);
 			this.#failTransaction();
 		}
 
@@ -320,7 +320,7 @@
 		this.#acknowledge();
 	}
 
-	/** Checks key, database, shutdown and rate at the start of a statement or transaction. */
+	/** Checks shutdown, database, key and rate limit before a statement or transaction starts. */
 	async #admitOperation(request: StatementRequest, startedAt: number): Promise<AdmissionResult> {
 		if (this.#closingRefusal !== undefined) {
 			return {kind: 'refused', refusal: this.#closingRefusal, isFinal: true};
@@ -336,7 +336,7 @@
 			return {kind: 'refused', refusal: refusals.unknownKey(), isFinal: true};
 		}
 
-		const waitMs = await this.#takeOperation(account);
+		const waitMs = await this.#acquireOperation(account);
 		if (waitMs > 0) {
 			return {kind: 'refused', refusal: refusals.overLimit(account, Math.ceil(waitMs), this.dependencies.limiter.describeLimit(account)), isFinal: false};
 		}
@@ -348,18 +348,18 @@
 		};
 	}
 
-	async #takeOperation(account: string): Promise<number> {
+	async #acquireOperation(account: string): Promise<number> {
 		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.acquireOperation(account);
 	}
 
-	/** Counts an operation that no instance took as none: its account may use the right once more. */
-	#refundIfNotRun(operation: Operation, outcome: OperationOutcome): void {
+	/** Releases an operation that no instance ran, so that it does not count against the rate limit of its account. */
+	#releaseIfNotRun(operation: Operation, outcome: OperationOutcome): void {
 		if (outcome.kind === 'refused' && !operation.mayHaveRun) {
 			this.dependencies.limiter.releaseOperation(operation.account);
 		}
 	}
 
-	/** Checks that the account of a transaction that is open still has its key. */
+	/** Returns a refusal if the key of an open transaction is no longer valid. */
 	#checkAccess(operation: Operation): Refusal | undefined {
 		if (this.#closingRefusal !== undefined) {
 			return this.#closingRefusal;
@@ -433,7 +433,7 @@
 		}
 	}
 
-	/** Closes a session that is to end once it rested: a caller that goes on at once would lose its next statement. */
+	/** Closes a closing session only after it stayed idle for a while, because a caller that continues at once would lose its next statement. */
 	#closeIfIdle(): void {
 		if (!this.#isClosing || !this.isIdle || this.#isClosed) {
 			return;
--- a/packages/gateway/src/sessions/operation.ts
+++ b/packages/gateway/src/sessions/operation.ts
@@ -7,33 +7,33 @@
 export type Operation = {
 	readonly id: string;
 	readonly route: DatabaseRoute;
-	/** Name that instances are told. */
+	/** Account name that is sent to instances. */
 	readonly account: string;
-	/** Steady time at which its first byte was in, milliseconds. */
+	/** Monotonic time at which its first byte arrived, milliseconds. */
 	readonly startedAt: number;
 	readonly session: SessionValues;
-	/** Newest commit of the session. */
+	/** Log position of the session's newest commit. */
 	readonly lastCommit: LogPosition | undefined;
 	/** Whether an instance may have run any of it. */
 	mayHaveRun: boolean;
 };
 
-/** Operation that may begin, or why it may not. */
+/** An admitted operation, or the refusal of the request. */
 export type AdmissionResult = {readonly kind: 'begun'; readonly operation: Operation} | {readonly kind: 'refused'; readonly refusal: Refusal; readonly isFinal: boolean};
 
-/** Account name for callers of routes that are open to all. */
+/** Account name of callers without an account on routes that allow anonymous access. */
 export const anonymousAccount = 'anonymous';
 
-/** Part of a route's staleness that is left for the way to the instance, milliseconds. */
+/** Part of a route's staleness bound that is reserved for the transit to the instance, milliseconds. */
 const stalenessMarginMs = 20;
 
-/** Returns the account that an operation runs for, undefined when the key does not open the route. */
+/** Returns the account name of an operation, undefined when the key does not grant access to the route. */
 export function chooseAccountName(route: DatabaseRoute, account: ClientAccount | undefined): string | undefined {
 	return account?.name ?? (route.allowsAnonymous ? anonymousAccount : undefined);
 }
 
 /**
- * Returns the position that a replica has to hold to serve an operation's reads.
+ * Returns the log position that a replica must have reached to serve an operation's reads.
  * @returns The position, or undefined when only the primary may serve them.
  */
 export function getRequiredPosition({route, startedAt, lastCommit}: Operation, terms: TermRegistry): LogPosition | undefined {
--- a/packages/gateway/src/sessions/session-dependencies.ts
+++ b/packages/gateway/src/sessions/session-dependencies.ts
@@ -5,7 +5,7 @@
 import {type Clock} from '../ports/index.js';
 import {type TermRegistry} from '../terms/index.js';
 
-/** What sessions need from the rest of the gateway. */
+/** Dependencies of sessions. */
 export type SessionDependencies = {
 	readonly configuration: ConfigurationView;
 	readonly dispatcher: Dispatcher;
@@ -16,7 +16,7 @@
 	readonly metrics: GatewayMetrics;
 };
 
-/** What a caller presented when it opened its session. */
+/** Identity that a caller presented when it opened its session. */
 export type SessionIdentity = {
 	readonly connectionId: string;
 	readonly database: string;
--- a/packages/gateway/src/sessions/transaction.ts
+++ b/packages/gateway/src/sessions/transaction.ts
@@ -6,28 +6,28 @@
 import {createLostAnswerRefusal, type OperationOutcome} from './autocommit-runner.js';
 import {isWriteStatement, type RunResult, type StatementRunner} from './statement-runner.js';
 
-/** Instances that a transaction is offered to before it is refused. */
+/** Largest number of attempts to begin a transaction before it is refused. */
 const maxAttempts = 6;
 
-/** Times that a statement is offered to the transaction's instance while that has no room. */
+/** Largest number of retries of a statement while the transaction's instance is busy. */
 const maxBusyRetries = 4;
 
-/** Pause before a statement is offered again, milliseconds: about one service time. */
+/** Delay before a statement is retried, milliseconds: about one service time. */
 const busyRetryDelayMs = 15;
 
-/** Part of a route's timeout for which a transaction may wait for a place. */
+/** Fraction of a route's timeout for which a transaction may wait for a connection. */
 const maxWaitFraction = 0.7;
 
-/** Time for a rollback, milliseconds: no slot is needed for it. */
+/** Timeout for a rollback, milliseconds: it needs no slot of the instance. */
 const rollBackTimeoutMs = 500;
 
-/** Answer to a statement of a transaction, with whether the transaction goes on. */
+/** Outcome of a statement in a transaction, with whether the transaction is still open. */
 export type TransactionAnswer = {
 	readonly outcome: OperationOutcome;
 	readonly isOpen: boolean;
 };
 
-/** A caller's transaction: pinned to one connection from its first statement on. */
+/** A caller's transaction, pinned to one connection from its first statement on. */
 export class Transaction {
 	#placement: Placement | undefined;
 	#hasWritten = false;
@@ -41,7 +41,7 @@
 		private readonly access: TransactionAccess,
 	) {}
 
-	/** Runs a statement inside the transaction. */
+	/** Runs a statement in the transaction. */
 	async run(request: StatementRequest, prepared: PreparedStatement | undefined): Promise<TransactionAnswer> {
 		const startedAt = this.dependencies.clock.now();
 		const deadline = startedAt + this.operation.route.statementTimeoutMs;
@@ -52,10 +52,10 @@
 				return this.#fail(refusal);
 			}
 
-			const place = this.#placement!;
+			const placement = this.#placement!;
 			this.#hasWritten ||= isWriteStatement(request.statement, prepared);
-			const result = await this.#runWithRetries(place, request, prepared, deadline);
-			return request.statement.kind === 'commit' ? await this.#createCommitAnswer(place, result) : this.#createAnswer(result);
+			const result = await this.#runWithRetries(placement, request, prepared, deadline);
+			return request.statement.kind === 'commit' ? await this.#createCommitAnswer(placement, result) : this.#createAnswer(result);
 		} finally {
 			this.#isRunning = false;
 			if (this.#isEnded) {
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Rolls back; what is under way is cut off. */
+	/** Rolls the transaction back, once a running statement has ended. */
 	rollBack(): void {
 		this.#isEnded = true;
 		if (!this.#isRunning) {
@@ -72,12 +72,12 @@
 		}
 	}
 
-	async #runWithRetries(place: Placement, request: StatementRequest, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
+	async #runWithRetries(placement: Placement, request: StatementRequest, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
 		for (let attempt = 0; ; attempt++) {
-			const result = await this.runner.run(place, this.operation, {id: request.id, statement: request.statement}, prepared, deadline);
-			const isWorthRetrying = result.kind === 'not-run' && (result.reason === 'busy' || result.reason === 'no-statement') && result.state === 'in-transaction'
+			const result = await this.runner.run(placement, this.operation, {id: request.id, statement: request.statement}, prepared, deadline);
+			const canRetry = result.kind === 'not-run' && (result.reason === 'busy' || result.reason === 'no-statement') && result.state === 'in-transaction'
 				&& attempt < maxBusyRetries && this.dependencies.clock.now() + busyRetryDelayMs < deadline;
-			if (!isWorthRetrying) {
+			if (!canRetry) {
 				return result;
 			}
 
@@ -89,7 +89,7 @@
 		}
 	}
 
-	/** Finds a connection and begins there; returns why there is none. */
+	/** Acquires a connection and begins the transaction on it; returns a refusal if that fails. */
 	async #pin(startedAt: number, deadline: number): Promise<Refusal | undefined> {
 		const {route, account} = this.operation;
 		const excluded = new Set<string>();
@@ -98,30 +98,30 @@
 				return refusals.overloaded(route.group, busyRetryDelayMs);
 			}
 
-			const since = this.access === 'read-only' ? getRequiredPosition(this.operation, this.dependencies.terms) : undefined;
+			const requiredPosition = this.access === 'read-only' ? getRequiredPosition(this.operation, this.dependencies.terms) : undefined;
 			const acquired = await this.dependencies.dispatcher.acquire({
-				group: route.group, account, target: since === undefined ? 'primary' : 'any', requiredPosition: since, priority: route.priority,
+				group: route.group, account, target: requiredPosition === undefined ? 'primary' : 'any', requiredPosition, priority: route.priority,
 				deadline: startedAt + (route.statementTimeoutMs * maxWaitFraction), excluded,
 			});
 			if (acquired.kind === 'refused') {
 				return acquired.refusal;
 			}
 
-			const {placement: place} = acquired;
-			const begin = {statement: {kind: 'control-begin' as const, access: this.access}, ...(!place.isPrimary && since !== undefined && {since})};
-			const result = await this.runner.run(place, this.operation, begin, undefined, deadline);
+			const {placement} = acquired;
+			const begin = {statement: {kind: 'control-begin' as const, access: this.access}, ...(!placement.isPrimary && requiredPosition !== undefined && {since: requiredPosition})};
+			const result = await this.runner.run(placement, this.operation, begin, undefined, deadline);
 			if (result.kind === 'completed' && result.state === 'in-transaction') {
-				this.#placement = place;
+				this.#placement = placement;
 				this.dependencies.log.logEvent('transaction.pinned', {
-					request: this.operation.id, group: route.group, instance: place.pool.instance.id, isPrimary: place.isPrimary, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
+					request: this.operation.id, group: route.group, instance: placement.pool.instance.id, isPrimary: placement.isPrimary, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
 				});
 			} else {
-				this.dependencies.dispatcher.release(place, false);
+				this.dependencies.dispatcher.release(placement, false);
 				this.dependencies.log.logEvent('transaction.moved', {
-					request: this.operation.id, group: route.group, instance: place.pool.instance.id, attempt, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
+					request: this.operation.id, group: route.group, instance: placement.pool.instance.id, attempt, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
 				});
-				if (!place.isPrimary || result.kind === 'lost') {
-					excluded.add(place.pool.instance.id);
+				if (!placement.isPrimary || result.kind === 'lost') {
+					excluded.add(placement.pool.instance.id);
 				}
 			}
 		}
@@ -144,18 +144,18 @@
 			}
 
 			case 'lost': {
-				// Nothing is kept: the commit was never sent.
+				// The commit was never sent, so nothing was written.
 				return this.#fail(refusals.transactionAborted(result.reason === 'timeout' ? 'the instance did not answer' : 'the instance closed the connection'));
 			}
 		}
 	}
 
-	async #createCommitAnswer(place: Placement, result: RunResult): Promise<TransactionAnswer> {
+	async #createCommitAnswer(placement: Placement, result: RunResult): Promise<TransactionAnswer> {
 		if (result.kind === 'completed') {
 			this.#release(result.state === 'idle');
-			const isCertain = !this.#hasWritten || await this.dependencies.terms.waitUntilWriteIsSafe(this.operation.route.group, place.pool.instance.id);
+			const isDurable = !this.#hasWritten || await this.dependencies.terms.waitUntilWriteIsSafe(this.operation.route.group, placement.pool.instance.id);
 			return {
-				outcome: isCertain
+				outcome: isDurable
 					? {...result, kind: 'completed', isCommit: this.#hasWritten}
 					: {kind: 'refused', refusal: refusals.outcomeUnknown('the term ended while the commit was under way')},
 				isOpen: false,
@@ -184,14 +184,14 @@
 	}
 
 	async #rollBackAtInstance(): Promise<void> {
-		const place = this.#placement;
-		if (place === undefined) {
+		const placement = this.#placement;
+		if (placement === undefined) {
 			return;
 		}
 
 		this.#placement = undefined;
-		const [outcome] = await place.connection.instanceConnection.run([{statement: {kind: 'control-roll-back'}}], rollBackTimeoutMs);
-		this.dependencies.dispatcher.release(place, outcome?.kind === 'completed' && outcome.state === 'idle');
+		const [outcome] = await placement.connection.instanceConnection.run([{statement: {kind: 'control-roll-back'}}], rollBackTimeoutMs);
+		this.dependencies.dispatcher.release(placement, outcome?.kind === 'completed' && outcome.state === 'idle');
 	}
 
 	#release(isClean: boolean): void {
@@ -202,7 +202,7 @@
 	}
 }
 
-/** Returns the later of a session's newest commit and another. */
-export function getNewestCommit(a: LogPosition | undefined, b: LogPosition | undefined): LogPosition | undefined {
-	return b ?? a;
+/** Returns the newest commit of a session; a commit without a position leaves it as it was. */
+export function getNewestCommit(newest: LogPosition | undefined, committed: LogPosition | undefined): LogPosition | undefined {
+	return committed ?? newest;
 }
--- a/packages/gateway/src/tests/sessions/sessions.test.ts
+++ b/packages/gateway/src/tests/sessions/sessions.test.ts
@@ -71,7 +71,7 @@
 	cluster.stop();
 });
 
-test.serial('session values and prepared statements hold on whatever connection a statement runs', async t => {
+test.serial('session values and prepared statements apply on every connection that a statement runs on', async t => {
 	const cluster = new TestCluster(['vm1']);
 	await cluster.start(createConfiguration(1, {groups: [{name: 'db', maxConnections: 1}]}));
 	const sessions = ['red', 'blue'].map(color => ({color, session: cluster.openSession('vm1', 'strict')}));
@@ -103,7 +103,7 @@
 	cluster.stop();
 });
 
-test.serial('a write whose answer is lost is unknown and not sent again, a read is sent again', async t => {
+test.serial('a write whose answer is lost has an unknown outcome and is not retried, a read is retried', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
@@ -114,7 +114,7 @@
 	cluster.stop();
 });
 
-test.serial('a statement that the instance says it did not run is sent again', async t => {
+test.serial('a statement that the instance reports as not run is retried', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
@@ -124,7 +124,7 @@
 	cluster.stop();
 });
 
-test.serial('a transaction whose connection breaks before its commit is rolled back, one that breaks at it is unknown', async t => {
+test.serial('a transaction whose connection breaks before the commit is rolled back, one whose connection breaks during the commit has an unknown outcome', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
@@ -160,20 +160,20 @@
 	cluster.stop();
 });
 
-test.serial('a caller that leaves rolls its transaction back and frees the connection', async t => {
+test.serial('a transaction is rolled back and its connection released when the caller disconnects', async t => {
 	const cluster = new TestCluster(['vm1']);
 	await cluster.start(createConfiguration(1, {groups: [{name: 'db', maxConnections: 1}]}));
-	const leaver = cluster.openSession('vm1', 'strict');
-	await leaver.sendAndWait(begin);
-	await leaver.sendAndWait(write);
-	leaver.disconnect();
+	const disconnecting = cluster.openSession('vm1', 'strict');
+	await disconnecting.sendAndWait(begin);
+	await disconnecting.sendAndWait(write);
+	disconnecting.disconnect();
 	await cluster.time.advance(50);
 	t.is(describeAnswer(await cluster.openSession('vm1', 'strict').sendAndWait(write)), 'signed q2-1');
 	t.is(cluster.database.events.length, 1);
 	cluster.stop();
 });
 
-test.serial('a transaction that rests too long is ended and says so', async t => {
+test.serial('a transaction that is idle for too long is rolled back, and its commit is refused', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	const session = cluster.openSession('vm1', 'strict');
@@ -185,7 +185,7 @@
 	cluster.stop();
 });
 
-test.serial('unknown databases and keys are rejected, and a withdrawn key ends its sessions', async t => {
+test.serial('unknown databases and keys are rejected, and the sessions of a withdrawn key are closed', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	t.is(cluster.openSession('vm1', 'nowhere').rejection!.kind, 'unknown-route');
@@ -204,7 +204,7 @@
 	cluster.stop();
 });
 
-test.serial('instances are told the account, never the key', async t => {
+test.serial('instances receive the account name, never the key', async t => {
 	const cluster = new TestCluster();
 	await cluster.start(createConfiguration(1, {
 		accounts: [{
@@ -216,7 +216,7 @@
 	cluster.stop();
 });
 
-test.serial('a statement over the configured size is refused without reaching an instance, one at it is served', async t => {
+test.serial('a statement above the configured size is refused without reaching an instance, one of exactly that size is served', async t => {
 	const cluster = new TestCluster();
 	await cluster.start(createConfiguration(1, {maxStatementBytes: 20}));
 	const caller = cluster.openSession('vm1', 'strict');
@@ -228,7 +228,7 @@
 	cluster.stop();
 });
 
-test.serial('a read whose instance falls silent is answered by another long before its timeout', async t => {
+test.serial('a read whose instance stops answering is answered by another instance long before its timeout', async t => {
 	const cluster = new TestCluster(['vm1']);
 	await cluster.start();
 	const writer = cluster.openSession('vm1', 'strict');
@@ -244,7 +244,7 @@
 		t.is(answer.result.kind, 'completed');
 		times.push(cluster.time.now() - startedAt);
 	})));
-	t.true(Math.max(...times) > 300, 'no read met the silent instance');
+	t.true(Math.max(...times) > 300, 'no read was sent to the silent instance');
 	t.true(Math.max(...times) < 500, `${Math.max(...times)}`);
 	t.true(cluster.getGateway('vm1').metrics.getCount('read_doubted') > 0);
 	cluster.stop();
--- a/packages/gateway/src/tests/sessions/shutdown.test.ts
+++ b/packages/gateway/src/tests/sessions/shutdown.test.ts
@@ -4,7 +4,7 @@
 const {read, write, begin, commit} = statements;
 const timing = {graceMs: 6000, rotationMs: 2200};
 
-test.serial('a VM that shuts down finishes what runs, gives transactions half its time, and closes what rests', async t => {
+test.serial('a VM that shuts down finishes running statements, gives transactions half of the grace period, and closes idle sessions', async t => {
 	const cluster = new TestCluster();
 	cluster.database.options.serviceMs = 300;
 	await cluster.start();
@@ -24,28 +24,28 @@
 	cluster.stop();
 });
 
-test.serial('whoever comes late to a VM that shuts down is refused at once, as not run', async t => {
+test.serial('in the second half of the grace period new sessions and statements are refused at once as not run', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
-	const resting = cluster.openSession('vm1', 'strict');
-	await resting.sendAndWait(begin);
-	await resting.sendAndWait(write);
+	const inTransaction = cluster.openSession('vm1', 'strict');
+	await inTransaction.sendAndWait(begin);
+	await inTransaction.sendAndWait(write);
 	const drained = cluster.getGateway('vm1').gateway.drain(timing);
 	await cluster.time.advance(2500);
 	const early = cluster.openSession('vm1', 'strict');
 	t.true(describeAnswer(await early.sendAndWait(read)).startsWith('signed'));
 	await cluster.time.advance(100);
-	t.true(early.isClosed, 'it is not kept');
+	t.true(early.isClosed, 'the session is closed after its first operation');
 	await cluster.time.advance(900);
 	t.is(cluster.openSession('vm1', 'strict').rejection!.kind, 'overloaded');
-	const refused = await resting.sendAndWait(commit);
+	const refused = await inTransaction.sendAndWait(commit);
 	t.is(describeAnswer(refused), 'transaction-lost');
 	t.is(cluster.database.events.filter(event => event.kind === 'commit').length, 0);
 	await cluster.time.waitFor(drained);
 	cluster.stop();
 });
 
-test.serial('a statement that waits for a place when the time is half over is refused, not held until the end', async t => {
+test.serial('a statement that still waits for a connection at half of the grace period is refused, not kept waiting until its end', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	const resting = cluster.openSession('vm1', 'strict');
