--- a/packages/gateway/src/configuration/configuration-codec.ts
+++ b/packages/gateway/src/configuration/configuration-codec.ts
@@ -17,21 +17,21 @@
 	maxStatementBytes: number,
 });
 
-/** Writes a configuration for another VM; it holds digests of keys, never keys. */
+/** Serializes a configuration for another VM; it contains key digests, never keys. */
 export function formatConfiguration(configuration: GatewayConfiguration): string {
 	return JSON.stringify(configuration);
 }
 
 /**
- * Reads a configuration that another VM wrote.
- * @returns The configuration, or what is wrong with the text.
+ * Parses a configuration serialized by another VM.
+ * @returns The configuration, or a description of the error.
  */
 export function parseConfiguration(text: string): Either<string, GatewayConfiguration> {
 	let value: unknown;
 	try {
 		value = JSON.parse(text);
 	} catch {
-		// The codec rejects what is not JSON.
+		// The codec rejects undefined, so invalid JSON is reported as a decoding error.
 	}
 
 	return configurationCodec.decode(value);
--- a/packages/gateway/src/configuration/configuration-view.ts
+++ b/packages/gateway/src/configuration/configuration-view.ts
@@ -2,7 +2,7 @@
 	type ClientAccount, type DatabaseGroup, type DatabaseRoute, type GatewayConfiguration,
 } from './gateway-configuration.js';
 
-/** Looks things up in the version of the configuration that is in force here. */
+/** Indexed read access to the active configuration. */
 export class ConfigurationView {
 	#configuration: GatewayConfiguration | undefined;
 	#routes = new Map<string, DatabaseRoute>();
@@ -10,7 +10,7 @@
 	#accountsByKey = new Map<string, ClientAccount>();
 	#accounts = new Map<string, ClientAccount>();
 
-	/** Version in force, zero before the first. */
+	/** Active version; 0 before the first configuration is applied. */
 	get version(): number {
 		return this.#configuration?.version ?? 0;
 	}
@@ -20,9 +20,8 @@
 	}
 
 	/**
-	 * Takes a version into force, unless it is not newer than the one in force.
-	 * @param configuration - Version to apply.
-	 * @returns Whether it was applied.
+	 * Activates a configuration if it is newer than the active one.
+	 * @returns Whether it was activated.
 	 */
 	applyConfiguration(configuration: GatewayConfiguration): boolean {
 		if (configuration.version <= this.version) {
@@ -50,7 +49,7 @@
 	}
 
 	/**
-	 * Returns the account that holds a key.
+	 * Returns the account that owns a key.
 	 * @param digest - Digest of the key.
 	 */
 	getAccountByKey(digest: string): ClientAccount | undefined {
--- a/packages/gateway/src/configuration/configuration-watcher.ts
+++ b/packages/gateway/src/configuration/configuration-watcher.ts
@@ -5,17 +5,17 @@
 import {type ConfigurationView} from './configuration-view.js';
 import {type GatewayConfiguration} from './gateway-configuration.js';
 
-/** Longest wait for a new version in one call, milliseconds: a connection that went silent is given up soon after. */
+/** Long-poll duration, milliseconds; short, so that an unresponsive connection is detected soon. */
 const pollWaitMs = 4000;
 
-/** Time for a call beyond its wait, milliseconds. */
+/** Timeout of a store call, in addition to its long-poll duration, milliseconds. */
 const callTimeoutMs = 1000;
 
-/** Pause after a call that failed, and the longest after several, milliseconds: as long as a call may take. */
+/** Initial and maximum backoff after failed calls, milliseconds; the maximum equals the timeout of a call. */
 const initialBackoffMs = 250;
 const maxBackoffMs = callTimeoutMs;
 
-/** Keeps the newest configuration in force: from the store, and from other VMs while the store turns this one away. */
+/** Applies new configuration versions from the store, or from other VMs while this VM cannot reach the store. */
 export class ConfigurationWatcher {
 	#encoded: string | undefined;
 	#storeVersion: number | undefined;
@@ -28,12 +28,12 @@
 
 	readonly #backoff: Backoff;
 
-	/** @param random - Returns numbers from zero up to one. */
+	/** @param random - Returns numbers from 0 (inclusive) to 1 (exclusive). */
 	constructor(private readonly store: CoordinationStore, private readonly view: ConfigurationView, random: () => number, private readonly log: EventLog) {
 		this.#backoff = new Backoff(initialBackoffMs, maxBackoffMs, random);
 	}
 
-	/** The configuration in force as other VMs are sent it. */
+	/** Active configuration, serialized for other VMs. */
 	get encoded(): string | undefined {
 		const {configuration} = this.view;
 		this.#encoded ??= configuration === undefined ? undefined : formatConfiguration(configuration);
@@ -45,9 +45,9 @@
 	}
 
 	/**
-	 * Reads the configuration once, after another VM told of a newer one.
-	 * @param version - Version that there is.
-	 * @returns Whether that version, or a newer one, is in force now.
+	 * Reads the configuration once, after another VM reported a newer version. Returns true without a read while polling or another refresh is in progress.
+	 * @param version - Version reported by the other VM.
+	 * @returns Whether that version or a newer one is active, or about to be read.
 	 */
 	async refresh(version: number): Promise<boolean> {
 		if (this.#isPolling || this.#isRefreshing) {
@@ -64,7 +64,7 @@
 		return this.view.version >= version;
 	}
 
-	/** Reads and follows the configuration until it is stopped. */
+	/** Polls the store for configuration changes until stopped. */
 	async run(): Promise<void> {
 		while (!this.#isStopped) {
 			await this.#waitUntilPolling();
@@ -77,7 +77,7 @@
 					this.#apply(result.value.configuration, 'store');
 				}
 			} else {
-				// What the store's history no longer holds is read in full.
+				// The next call reads the full configuration: the store's change history may no longer contain the polled version.
 				this.#storeVersion = undefined;
 				this.#recordStoreAvailability(result.failure.reason === 'history-gone', `${result.failure.reason}: ${result.failure.message}`);
 				await pause(this.#backoff.getNextDelayMs());
@@ -90,7 +90,7 @@
 		this.#wake?.();
 	}
 
-	/** Sets whether this VM reads the store itself; others tell it of new versions otherwise. */
+	/** Sets whether this VM polls the store; otherwise it learns of new versions from other VMs. */
 	setPolling(isPolling: boolean): void {
 		this.#isPolling = isPolling;
 		if (isPolling) {
@@ -99,8 +99,8 @@
 	}
 
 	/**
-	 * Takes in a configuration from another VM.
-	 * @param text - What the other VM formatted.
+	 * Applies a configuration received from another VM; logs it and keeps the active one if it cannot be parsed.
+	 * @param text - Configuration as serialized by {@link formatConfiguration}.
 	 */
 	applyEncoded(text: string, source: string): void {
 		parseConfiguration(text).ifRight(configuration => {
@@ -139,10 +139,10 @@
 		}
 	}
 
-	#recordStoreAvailability(isAvailable: boolean, why: string): void {
+	#recordStoreAvailability(isAvailable: boolean, reason: string): void {
 		if (this.#isStoreUnavailable === isAvailable) {
 			this.#isStoreUnavailable = !isAvailable;
-			this.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'configuration', why});
+			this.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'configuration', why: reason});
 		}
 	}
 }
--- a/packages/gateway/src/configuration/gateway-configuration.ts
+++ b/packages/gateway/src/configuration/gateway-configuration.ts
@@ -1,7 +1,7 @@
-/** What a route promises its readers. */
+/** Read consistency of a route. */
 export type RouteConsistency = 'primary' | 'bounded' | 'read-your-writes';
 
-/** A database name that callers may open a session on. */
+/** Route from a database name, as used by callers, to a group. */
 export type DatabaseRoute = {
 	readonly name: string;
 	readonly database: string;
@@ -9,7 +9,7 @@
 	readonly consistency: RouteConsistency;
 	readonly statementTimeoutMs: number;
 	readonly targetLatencyMs: number;
-	/** Zero is the highest. */
+	/** 0 is the highest priority. */
 	readonly priority: number;
 	readonly maxStalenessMs: number;
 	readonly allowsAnonymous: boolean;
@@ -18,7 +18,7 @@
 /** A group of database instances with one primary. */
 export type DatabaseGroup = {
 	readonly name: string;
-	/** Connections that one instance takes from all VMs together. */
+	/** Maximum connections to one instance, summed over all VMs. */
 	readonly maxConnections: number;
 };
 
@@ -28,7 +28,7 @@
 	/** Digests of the account's keys. */
 	readonly keyDigests: readonly string[];
 	readonly priority: number;
-	/** Operations a second, over all VMs. */
+	/** Operations per second, over all VMs. */
 	readonly ratePerS: number;
 	readonly burst: number;
 };
@@ -39,8 +39,8 @@
 	readonly routes: readonly DatabaseRoute[];
 	readonly groups: readonly DatabaseGroup[];
 	readonly accounts: readonly ClientAccount[];
-	/** Idle time after which a transaction may be ended. */
+	/** Idle time after which a transaction may be aborted, milliseconds. */
 	readonly transactionIdleMs: number;
-	/** Largest statement that is taken from a caller, bytes. */
+	/** Maximum size of a statement, bytes. */
 	readonly maxStatementBytes: number;
 };
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** Sessions that live on a connection: statements, transactions, routing, and what the VMs agree on. */
+/** The gateway: caller sessions, statement routing, transactions, and coordination between VMs. */
 export type * from './ports/index.js';
 export type * from './statements/index.js';
 export * from './configuration/index.js';
--- a/packages/gateway/src/instances/instance-registry.ts
+++ b/packages/gateway/src/instances/instance-registry.ts
@@ -1,10 +1,10 @@
 import {type EventLog} from '../observability/index.js';
 import {type Instance, isInstanceUnchanged} from './instance.js';
 
-/** Called with an instance that was added, changed (`before` and `after`) or removed. */
+/** Called for each instance that was added (`before` is undefined), changed, or removed (`after` is undefined). */
 export type InstanceListener = (before: Instance | undefined, after: Instance | undefined) => void;
 
-/** Knows which instances there are. */
+/** Registered database instances, by id. */
 export class InstanceRegistry {
 	#instances = new Map<string, Instance>();
 	readonly #listeners: InstanceListener[] = [];
@@ -13,12 +13,12 @@
 
 	constructor(private readonly log: EventLog) {}
 
-	/** Time of the last list, undefined before the first. */
+	/** Monotonic time of the last update, milliseconds; undefined before the first. */
 	get appliedAt(): number | undefined {
 		return this.#appliedAt;
 	}
 
-	/** Returns since when an instance is known to be draining, steady milliseconds. */
+	/** Returns the monotonic time at which an instance was first seen draining, milliseconds; undefined if it is not draining. */
 	getDrainingSince(id: string): number | undefined {
 		return this.#drainingSince.get(id);
 	}
@@ -40,8 +40,8 @@
 	}
 
 	/**
-	 * Takes in the whole list; an instance that is missing from it is gone.
-	 * @param now - Steady time in milliseconds.
+	 * Replaces the list of instances and notifies listeners of each difference; a missing instance counts as removed.
+	 * @param now - Monotonic time, milliseconds.
 	 */
 	setInstances(instances: readonly Instance[], now: number): void {
 		const before = this.#instances;
@@ -49,7 +49,7 @@
 		this.#appliedAt = now;
 		for (const instance of instances) {
 			if (instance.state === 'ready') {
-				// It may have started again under its former id.
+				// The instance may have restarted under the same id.
 				this.#drainingSince.delete(instance.id);
 			} else if (!this.#drainingSince.has(instance.id)) {
 				this.#drainingSince.set(instance.id, now);
@@ -61,10 +61,10 @@
 			}
 		}
 
-		for (const known of before.values()) {
-			if (!this.#instances.has(known.id)) {
-				this.#drainingSince.delete(known.id);
-				this.#notifyListeners(known, undefined);
+		for (const removed of before.values()) {
+			if (!this.#instances.has(removed.id)) {
+				this.#drainingSince.delete(removed.id);
+				this.#notifyListeners(removed, undefined);
 			}
 		}
 	}
--- a/packages/gateway/src/instances/instance-watcher.ts
+++ b/packages/gateway/src/instances/instance-watcher.ts
@@ -4,20 +4,20 @@
 import {type Instance} from './instance.js';
 import {type InstanceRegistry} from './instance-registry.js';
 
-/** Interval at which the list is read, milliseconds: well inside the time in which a draining instance may still be used. */
+/** Poll interval, milliseconds; well below the time for which a draining instance still accepts statements. */
 const pollIntervalMs = 1000;
 
-/** Pause after a call that failed, and the longest after several, milliseconds. */
+/** Initial and maximum backoff after failed calls, milliseconds. */
 const initialBackoffMs = 300;
 const maxBackoffMs = pollIntervalMs;
 
-/** Time for a call, milliseconds. */
+/** Timeout of a store call, milliseconds. */
 const callTimeoutMs = 1000;
 
-/** Time after an outage of the store for which an instance may be missing because its entry lapsed meanwhile, milliseconds. */
+/** Time after a store outage for which missing instances are kept, milliseconds: their entries may have expired during the outage. */
 const expiryGraceMs = 2500;
 
-/** Keeps the list of instances up to date. */
+/** Updates the instance registry from the store, or from the list reported by the coordinator. */
 export class InstanceWatcher {
 	#isStopped = false;
 	#outageEndedAt = Number.NEGATIVE_INFINITY;
@@ -27,7 +27,7 @@
 
 	readonly #backoff: Backoff;
 
-	/** @param random - Returns numbers from zero up to one. */
+	/** @param random - Returns numbers from 0 (inclusive) to 1 (exclusive). */
 	constructor(
 		private readonly store: CoordinationStore,
 		private readonly registry: InstanceRegistry,
@@ -38,7 +38,7 @@
 		this.#backoff = new Backoff(initialBackoffMs, maxBackoffMs, random);
 	}
 
-	/** Reads the list until it is stopped. */
+	/** Polls the store for the list of instances until stopped. */
 	async run(): Promise<void> {
 		while (!this.#isStopped) {
 			const isSuccessful = this.#isPolling ? await this.#read() : true;
@@ -52,7 +52,7 @@
 		}
 	}
 
-	/** Sets whether this VM reads the list itself; the coordinator tells it otherwise. */
+	/** Sets whether this VM polls the store; otherwise the coordinator reports the list. */
 	setPolling(isPolling: boolean): void {
 		const isResumed = isPolling && !this.#isPolling;
 		this.#isPolling = isPolling;
@@ -61,7 +61,7 @@
 		}
 	}
 
-	/** Takes in the list that the coordinator has. */
+	/** Applies the list reported by the coordinator. */
 	applyReportedInstances(instances: readonly Instance[]): void {
 		this.registry.setInstances(instances, this.clock.now());
 	}
@@ -94,10 +94,10 @@
 		return [...instances, ...[...this.registry.getInstances()].filter(instance => !ids.has(instance.id))];
 	}
 
-	#recordStoreAvailability(isAvailable: boolean, why: string): void {
+	#recordStoreAvailability(isAvailable: boolean, reason: string): void {
 		if (this.#isStoreUnavailable === isAvailable) {
 			this.#isStoreUnavailable = !isAvailable;
-			this.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'instances', why});
+			this.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'instances', why: reason});
 		}
 	}
 }
--- a/packages/gateway/src/instances/instance.ts
+++ b/packages/gateway/src/instances/instance.ts
@@ -1,4 +1,4 @@
-/** A database instance as it registered itself. */
+/** A registered database instance. */
 export type Instance = {
 	readonly id: string;
 	readonly group: string;
@@ -7,13 +7,13 @@
 	readonly zone: string;
 	readonly slots: number;
 	readonly state: 'ready' | 'draining';
-	/** Role in its own eyes, which may lag behind a promotion. */
+	/** Role as reported by the instance; may be outdated after a promotion. */
 	readonly reportedRole: 'primary' | 'replica';
-	/** Unix time of its start in milliseconds: a changed value is another incarnation. */
+	/** Unix start time, milliseconds; a different value denotes a restarted instance. */
 	readonly bornMs: number;
 };
 
-/** Says whether two entries of one instance differ in anything but their age. */
+/** Checks whether all fields of two entries are equal. */
 export function isInstanceUnchanged(before: Instance, after: Instance): boolean {
 	return before.id === after.id && before.group === after.group && before.address === after.address && before.zone === after.zone && before.slots === after.slots
 		&& before.state === after.state && before.reportedRole === after.reportedRole && before.bornMs === after.bornMs;
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -5,33 +5,33 @@
 import {type CallerConnection} from '../ports/index.js';
 import {CallerSession, type SessionIdentity, type SessionDependencies} from '../sessions/index.js';
 
-/** How a gateway shuts down. */
+/** Timing of a graceful shutdown. */
 export type ShutdownTiming = {
-	/** Time from the signal to the forced end, milliseconds. */
+	/** Time from the signal to the forced exit, milliseconds. */
 	readonly graceMs: number;
-	/** Time after which new connections go elsewhere, milliseconds. */
+	/** Time until the load balancer stops sending new connections here, milliseconds. */
 	readonly rotationMs: number;
 };
 
-/** Time that is told to callers who are refused during shutdown, milliseconds: other VMs take them at once. */
+/** Retry delay sent to callers refused during startup or shutdown, milliseconds; short, as other VMs accept them immediately. */
 const retryAfterMs = 50;
 
-/** Interval at which a shutdown looks whether it is done, milliseconds. */
+/** Poll interval of the shutdown, milliseconds. */
 const drainPollMs = 25;
 
-/** Interval of the lines that sum up what was done, milliseconds. */
+/** Interval of `summary` events, milliseconds. */
 const summaryIntervalMs = 2000;
 
-/** Time after the start at which the histograms are loaded, milliseconds: callers of a restarted VM are served by then. */
+/** Delay from start to the loading of the histograms, milliseconds; waiting callers of a restarted VM are served by then. */
 const histogramDelayMs = 5000;
 
-/** Time that is kept back at the end of the grace time, milliseconds. */
+/** Time reserved at the end of the grace period to leave the cluster and exit, milliseconds. */
 const exitReserveMs = 500;
 
-/** Whether sessions are still taken during a shutdown. */
+/** Phase of a shutdown; it determines whether sessions are accepted. */
 type DrainPhase = 'none' | 'leaving-rotation' | 'finishing' | 'refusing';
 
-/** All sessions of this VM, from start to shutdown. */
+/** Manages the sessions and background tasks of this VM from start to shutdown. */
 export class Gateway {
 	readonly #sessions = new Set<CallerSession>();
 	readonly #drain: {phase: DrainPhase} = {phase: 'none'};
@@ -52,12 +52,12 @@
 		});
 	}
 
-	/** Whether new sessions are welcome here. */
+	/** Whether new sessions are accepted: the gateway is not shutting down, and has a configuration and a list of instances. */
 	get isReady(): boolean {
 		return this.#drain.phase === 'none' && this.dependencies.configuration.version > 0 && this.instances.appliedAt !== undefined;
 	}
 
-	/** Starts the work that goes on in the background. */
+	/** Starts the background tasks. */
 	async start(): Promise<void> {
 		void this.configurationWatcher.run();
 		void this.instanceWatcher.run();
@@ -73,9 +73,9 @@
 		}, summaryIntervalMs).unref();
 	}
 
-	/** Opens a session for a caller, or rejects it. */
+	/** Opens a session for a caller, or rejects it and returns undefined. */
 	openSession(identity: SessionIdentity, caller: CallerConnection): CallerSession | undefined {
-		const refusal = this.#checkAcceptsSessions(identity.database);
+		const refusal = this.#checkSessionAcceptance(identity.database);
 		const session: CallerSession = new CallerSession(this.dependencies, identity, caller, () => {
 			this.#sessions.delete(session);
 		});
@@ -97,7 +97,7 @@
 		return session;
 	}
 
-	#checkAcceptsSessions(database: string): Refusal | undefined {
+	#checkSessionAcceptance(database: string): Refusal | undefined {
 		if (this.#drain.phase === 'refusing') {
 			return refusals.shuttingDown(retryAfterMs);
 		}
@@ -105,7 +105,7 @@
 		return this.dependencies.configuration.version === 0 ? refusals.overloaded(database, retryAfterMs) : undefined;
 	}
 
-	/** Shuts down: what runs is finished, transactions get half the time, idle sessions are closed. */
+	/** Shuts down gracefully: after `rotationMs`, sessions are closed as they become idle; after half of the grace period, open transactions are aborted and statements refused. */
 	async drain(timing: ShutdownTiming): Promise<void> {
 		const startedAt = this.dependencies.clock.now();
 		this.#drain.phase = 'leaving-rotation';
@@ -140,7 +140,7 @@
 		this.dependencies.log.logEvent('shutdown.ended', {sessions: this.#sessions.size, durationMs: Math.round(elapsed())});
 	}
 
-	/** Ends the work in the background at once. */
+	/** Stops the background tasks immediately. */
 	stop(): void {
 		this.configurationWatcher.stop();
 		this.instanceWatcher.stop();
--- a/packages/gateway/src/limits/account-limiter.ts
+++ b/packages/gateway/src/limits/account-limiter.ts
@@ -5,22 +5,22 @@
 import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {type AdjustableSettingsSource, type Clock} from '../ports/index.js';
 
-/** Asks the coordinator for tokens; undefined when it does not answer. */
+/** Requests tokens from the coordinator; resolves to undefined if it does not respond. */
 export type TokenRequester = (wants: Readonly<Record<string, TokenDemand>>) => Promise<Readonly<Record<string, TokenGrant>> | undefined>;
 
-/** Time for which tokens that were given ahead of need may be used, milliseconds. */
+/** Lifetime of tokens granted ahead of demand, milliseconds. */
 const prefetchedTokenLifetimeMs = 500;
 
-/** Time of demand for which tokens are asked ahead, seconds. */
+/** Expected demand to prefetch tokens for, seconds. */
 const prefetchHorizonS = 0.3;
 
-/** Longest time for which a refusal of the coordinator is repeated without asking, milliseconds. */
+/** Maximum time for which a rejection by the coordinator is cached, milliseconds. */
 const maxRejectionCacheMs = 150;
 
-/** Time for which a token that was given back may be used again, milliseconds: the next statements of the account. */
+/** Lifetime of a released token, milliseconds: long enough for the next statements of the account. */
 const releasedTokenLifetimeMs = 300;
 
-/** Part of its share that a process without word from the coordinator begins with: what its VM used in the window before is not known. */
+/** Fraction of its limit that a new process may use at first without the coordinator: it does not know what its VM used before the restart. */
 const initialLimitFraction = 0.1;
 
 const msPerSecond = 1000;
@@ -33,20 +33,20 @@
 	rejectedUntil: number;
 	isRequestPending: boolean;
 	waiters: Waiter[];
-	/** What this VM used in the window. */
+	/** Operations admitted by this VM in the sliding window. */
 	readonly usage: SlidingWindowCounter;
-	/** What this VM may use in a window while the coordinator does not answer. */
+	/** Operations per window that this VM admits while the coordinator does not respond. */
 	localLimit: number | undefined;
 };
 
-/** Admits operations within each account's rate and burst over all VMs. */
+/** Enforces each account's rate and burst limit across all VMs. */
 export class AccountLimiter {
 	readonly #accounts = new Map<string, AccountState>();
 	#requestTokens: TokenRequester | undefined;
-	/** Absent until the store told who the VMs are. */
+	/** Undefined until the members have been read from the store or reported by the coordinator. */
 	#memberCount: number | undefined;
 	#isFlushScheduled = false;
-	/** Since when the coordinator does not answer. */
+	/** Time since which limits are enforced locally; undefined while the coordinator responds. */
 	#localModeSince: number | undefined;
 
 	readonly #startedAt: number;
@@ -61,15 +61,15 @@
 		this.#startedAt = clock.now();
 	}
 
-	/** Sets the way to the coordinator. */
+	/** Sets the function that requests tokens from the coordinator. */
 	setTokenRequester(requestTokens: TokenRequester): void {
 		this.#requestTokens = requestTokens;
 	}
 
-	/** Sets how many VMs an account's limit is divided over while nobody coordinates. */
-	setMemberCount(members: number): void {
-		if (members > 0 && members !== this.#memberCount) {
-			this.#memberCount = members;
+	/** Sets the number of VMs to divide each account's limit by while there is no coordinator. */
+	setMemberCount(memberCount: number): void {
+		if (memberCount > 0 && memberCount !== this.#memberCount) {
+			this.#memberCount = memberCount;
 			for (const state of this.#accounts.values()) {
 				state.localLimit = undefined;
 			}
@@ -77,8 +77,8 @@
 	}
 
 	/**
-	 * Takes the right to one operation.
-	 * @returns Zero when it was there, else the time until there may be one, milliseconds.
+	 * Acquires a token for one operation.
+	 * @returns 0 if the operation is admitted, otherwise the time after which to retry, milliseconds.
 	 */
 	async acquireOperation(account: string): Promise<number> {
 		const now = this.clock.now();
@@ -100,7 +100,7 @@
 		});
 	}
 
-	/** Takes back the right to an operation that never reached an instance: the next one of the account may use it. */
+	/** Returns the token of an operation that never reached an instance, for reuse by the next operation of the account. */
 	releaseOperation(account: string): void {
 		const state = this.#accounts.get(account);
 		if (state === undefined) {
@@ -115,7 +115,7 @@
 		}
 	}
 
-	/** Describes an account's limit and who keeps it, for a refusal. */
+	/** Describes an account's limit and whether it is enforced globally or locally, for a refusal message. */
 	describeLimit(account: string): string {
 		const limit = this.configuration.getAccount(account);
 		const scope = this.#localModeSince === undefined ? 'over all VMs' : `kept by this VM alone, one of ${this.#memberCount ?? 'an unknown number'}`;
@@ -133,25 +133,25 @@
 	}
 
 	async #requestPendingTokens(): Promise<void> {
-		const asked = new Map<string, Waiter[]>();
+		const waitersByAccount = new Map<string, Waiter[]>();
 		const wants: Record<string, TokenDemand> = {};
 		const now = this.clock.now();
 		const prefetchFraction = (prefetchHorizonS * msPerSecond) / this.getSettings().limitWindowMs;
 		for (const [account, state] of this.#accounts) {
 			if (state.waiters.length > 0 && !state.isRequestPending) {
 				state.isRequestPending = true;
-				asked.set(account, state.waiters);
+				waitersByAccount.set(account, state.waiters);
 				wants[account] = {needed: state.waiters.length, extra: Math.floor(state.usage.getCount(now) * prefetchFraction)};
 				state.waiters = [];
 			}
 		}
 
-		if (asked.size === 0) {
+		if (waitersByAccount.size === 0) {
 			return;
 		}
 
 		const grants = await this.#requestTokens?.(wants);
-		for (const [account, waiters] of asked) {
+		for (const [account, waiters] of waitersByAccount) {
 			const state = this.#getState(account);
 			state.isRequestPending = false;
 			const grant = grants?.[account];
@@ -200,7 +200,7 @@
 		}
 
 		if (this.#memberCount === undefined) {
-			// Nothing runs before the store has told of terms and VMs: what waits for that is not over its limit.
+			// No statement runs before the terms and members are known, so statements waiting for them do not exceed the limit.
 			for (const settle of waiters) {
 				state.usage.add(1, now);
 				settle(0);
@@ -221,14 +221,14 @@
 		}
 	}
 
-	/** Returns what this VM may use of an account's limit in a window without asking. */
-	#computeLocalLimit(account: string, members: number, state: AccountState, now: number): number {
+	/** Returns the operations per window that this VM may admit without the coordinator. */
+	#computeLocalLimit(account: string, memberCount: number, state: AccountState, now: number): number {
 		const {limitWindowMs} = this.getSettings();
 		const limit = this.configuration.getAccount(account);
-		return limit === undefined ? 0 : countAllowedInIsolation(limit, limitWindowMs, members, state.usage.getCount(now));
+		return limit === undefined ? 0 : countAllowedInIsolation(limit, limitWindowMs, memberCount, state.usage.getCount(now));
 	}
 
-	/** Returns the part of a window of which this process knows what its VM used. */
+	/** Returns the fraction of the local limit that may be used; it grows to 1 as this process observes a whole window. */
 	#getUsableFraction(now: number): number {
 		return Math.min(1, initialLimitFraction + ((now - this.#startedAt) / this.getSettings().limitWindowMs));
 	}
--- a/packages/gateway/src/observability/event-log.ts
+++ b/packages/gateway/src/observability/event-log.ts
@@ -4,29 +4,29 @@
 } from '@chicorysaddle/model';
 import {Roarr, ROARR} from 'roarr';
 
-/** Where lines go. */
+/** Destination of log lines. */
 export type LogOutput = {
 	write(text: string): unknown;
-	/** Bytes that wait for the reader. */
+	/** Bytes buffered for the reader. */
 	readonly writableLength: number;
 };
 
-/** Lines of one importance that are written in one second; what is beyond is counted. */
+/** Maximum lines per second by importance; further lines are dropped and counted. */
 const maxLinesPerSecond: Readonly<Record<EventImportance, number>> = {state: 200, refusal: 20, success: 2};
 
-/** Bytes that may wait for a slow reader of standard output before lines are dropped. */
+/** Maximum bytes buffered for a slow reader of the output; while more are buffered, lines are dropped. */
 const maxBufferedBytes = 262_144;
 
 const rateWindowMs = 1000;
 
-/** Writes decisions as JSON lines, bounded in rate and in memory. */
+/** Writes events as JSON lines, with bounded rate and memory. */
 export class EventLog {
 	readonly #roarr;
 	#windowEndsAt = 0;
 	readonly #writtenLines: Record<EventImportance, number> = {state: 0, refusal: 0, success: 0};
 	#omittedLines = 0;
 
-	/** @param vm - Name of this VM, on every line. */
+	/** @param vm - Name of this VM, included in every line. */
 	constructor(vm: string, private readonly output: LogOutput = process.stdout) {
 		this.#roarr = Roarr.child({vm});
 		ROARR.write = message => {
@@ -35,9 +35,8 @@
 	}
 
 	/**
-	 * Logs an event of the catalogue, unless its importance had its lines of this second.
-	 * @param name - Name in the catalogue.
-	 * @param fields - Inputs and outcome.
+	 * Logs an event from the event catalogue, or drops it if the rate limit of its importance or the buffer limit is reached.
+	 * @param fields - Event fields as defined in the catalogue.
 	 */
 	logEvent<Name extends EventName>(name: Name, fields: EventFieldsByName<Name>): void {
 		const now = Date.now();
--- a/packages/gateway/src/observability/gateway-metrics.ts
+++ b/packages/gateway/src/observability/gateway-metrics.ts
@@ -1,6 +1,6 @@
 import {type Histogram} from './histogram-library.js';
 
-/** Waits and durations that are recorded. */
+/** Names of the recorded durations. */
 export type DurationName = 'statement' | 'place' | 'connect' | 'instance' | 'lease';
 
 const durationNames: readonly DurationName[] = ['statement', 'place', 'connect', 'instance', 'lease'];
@@ -8,10 +8,10 @@
 const microsecondsPerMs = 1000;
 const maxDurationUs = 60_000_000;
 
-/** Durations that are kept until the histograms are loaded. */
+/** Maximum durations buffered until the histograms are loaded. */
 const maxPendingDurations = 5000;
 
-/** Counters, gauges and durations of a gateway. */
+/** Counters, gauges and duration histograms of a gateway. */
 export class GatewayMetrics {
 	readonly #counters = new Map<string, number>();
 	readonly #reportedCounters = new Map<string, number>();
@@ -27,25 +27,26 @@
 		return this.#counters.get(name) ?? 0;
 	}
 
-	/** Returns what the counters gained since the last call. */
+	/** Returns the counters that increased since the last call, with their increase. */
 	takeCounterIncreases(): Record<string, number> {
-		const gains: Record<string, number> = {};
+		const increases: Record<string, number> = {};
 		for (const [name, value] of this.#counters) {
-			const gain = value - (this.#reportedCounters.get(name) ?? 0);
+			const increase = value - (this.#reportedCounters.get(name) ?? 0);
 			this.#reportedCounters.set(name, value);
-			if (gain > 0) {
-				gains[name] = gain;
+			if (increase > 0) {
+				increases[name] = increase;
 			}
 		}
 
-		return gains;
+		return increases;
 	}
 
-	/** Adds a value that is read when the metrics are. */
+	/** Registers a gauge; `read` is called whenever the metrics are formatted. */
 	addGauge(name: string, read: () => number): void {
 		this.#gauges.set(name, read);
 	}
 
+	/** Records a duration in milliseconds; drops it if the histograms are not loaded and the buffer is full. */
 	recordDuration(duration: DurationName, ms: number): void {
 		const value = Math.min(maxDurationUs, Math.max(1, Math.round(ms * microsecondsPerMs)));
 		const histogram = this.#histograms.get(duration);
@@ -56,7 +57,7 @@
 		}
 	}
 
-	/** Loads the histograms: their library takes long to load, and a restarted VM has callers waiting. */
+	/** Creates the histograms. Their library is slow to load, so this is deferred until after startup, when callers of a restarted VM are waiting. */
 	async loadHistograms(): Promise<void> {
 		const {build} = await import('./histogram-library.js');
 		for (const duration of durationNames) {
@@ -70,7 +71,7 @@
 		}
 	}
 
-	/** Writes everything in the Prometheus text format. */
+	/** Formats all metrics in the Prometheus text format. */
 	formatPrometheusText(): string {
 		const lines = [...this.#counters].map(([name, value]) => `chicorysaddle_${name.replaceAll(/\W/gv, '_')} ${value}`);
 		for (const [name, read] of this.#gauges) {
--- a/packages/gateway/src/observability/histogram-library.ts
+++ b/packages/gateway/src/observability/histogram-library.ts
@@ -1,2 +1,2 @@
-/** The door to the histogram library; it is loaded by need. */
+/** Histogram library, in a module of its own so that it can be imported lazily. */
 export {build, type Histogram} from 'hdr-histogram-js';
--- a/packages/gateway/src/observability/instrumented-store.ts
+++ b/packages/gateway/src/observability/instrumented-store.ts
@@ -1,7 +1,7 @@
 import {type CoordinationStore} from '../ports/index.js';
 import {type GatewayMetrics} from './gateway-metrics.js';
 
-/** Wraps the store's tables so that each call is counted by its name, and each failure by its reason. */
+/** Wraps a store so that calls are counted by name, and failures by name and reason. */
 export function createInstrumentedStore(store: CoordinationStore, metrics: GatewayMetrics): CoordinationStore {
 	const instrument = <Arguments extends unknown[], Result extends {readonly kind: 'ok'} | {readonly kind: 'failed'; readonly failure: {readonly reason: string}}>(name: string, call: (...arguments_: Arguments) => Promise<Result>) => async (...arguments_: Arguments): Promise<Result> => {
 		metrics.addCount(`store_call_${name}`);
--- a/packages/gateway/src/ports/adjustable-settings.ts
+++ b/packages/gateway/src/ports/adjustable-settings.ts
@@ -1,14 +1,14 @@
-/** Settings that may change while the process runs. */
+/** Settings that can change while the process runs. */
 export type AdjustableSettings = {
-	/** Time for which an instance that is draining may still be sent work, milliseconds. */
+	/** Time for which a draining instance still accepts new statements, milliseconds. */
 	readonly drainMs: number;
-	/** Window over which the limits of client accounts hold, milliseconds. */
+	/** Sliding window over which client account limits are enforced, milliseconds. */
 	readonly limitWindowMs: number;
-	/** Capacity beside the largest VMs, from zero to one. */
+	/** Capacity of this VM relative to the largest VMs, from 0 to 1. */
 	readonly capacity: number;
-	/** Peer addresses of VMs that may know the configuration while the store does not answer. */
+	/** Peer addresses to contact for the coordinator and the configuration while the store is unavailable. */
 	readonly seeds: readonly string[];
 };
 
-/** Gives the adjustable settings as they are now. */
+/** Returns the current adjustable settings. */
 export type AdjustableSettingsSource = () => AdjustableSettings;
--- a/packages/gateway/src/ports/caller-connection.ts
+++ b/packages/gateway/src/ports/caller-connection.ts
@@ -1,7 +1,7 @@
 import {type Refusal, type LogPosition} from '@chicorysaddle/model';
 import {type SessionState} from '../statements/index.js';
 
-/** An answer to a caller's statement. */
+/** Response to a caller's statement. */
 export type CallerAnswer = {
 	readonly result:
 		| {readonly kind: 'completed'; readonly rows: readonly string[]; readonly signature: string | undefined}
@@ -10,11 +10,11 @@
 	readonly position: LogPosition | undefined;
 };
 
-/** The caller's side of a session. */
+/** Connection to the caller of a session. */
 export type CallerConnection = {
 	sendReady(): void;
 	sendAnswer(answer: CallerAnswer): void;
-	/** Refuses the session and closes the connection. */
+	/** Sends the refusal and closes the connection. */
 	rejectSession(refusal: Refusal): void;
 	close(): void;
 };
--- a/packages/gateway/src/ports/clock.ts
+++ b/packages/gateway/src/ports/clock.ts
@@ -1,7 +1,7 @@
-/** Time of a VM: a steady clock, and the time of day, which may jump. */
+/** Clocks of a VM: a monotonic clock, and wall-clock time, which can jump. */
 export type Clock = {
-	/** Steady time in milliseconds. */
+	/** Returns monotonic time, milliseconds. */
 	now(): number;
-	/** Unix time in milliseconds. */
+	/** Returns Unix time, milliseconds. */
 	getWallTime(): number;
 };
--- a/packages/gateway/src/ports/coordination-store.ts
+++ b/packages/gateway/src/ports/coordination-store.ts
@@ -1,51 +1,51 @@
 import {type GatewayConfiguration} from '../configuration/index.js';
 import {type Instance} from '../instances/index.js';
 
-/** A row that the VMs share; version zero stands for an absent row. */
+/** A row shared by all VMs; version 0 denotes an absent row. */
 export type SharedRow = {
 	readonly key: string;
 	readonly value: string;
 	readonly version: number;
 };
 
-/** A write that holds only while the row is at a version. */
+/** A write that is applied only if the row is at the expected version. */
 export type SharedRowWrite = {
 	readonly key: string;
 	readonly expectedVersion: number;
-	/** Absent to remove the row. */
+	/** New value; undefined deletes the row. */
 	readonly value: string | undefined;
 };
 
-/** Why the store gave no usable answer. */
+/** Reason why a store call failed. */
 export type StoreFailure = {
-	/** `busy` and `refused` mean that nothing was done; `lost` that it may have been. */
+	/** `busy` and `refused` mean that the call had no effect; `lost` means that it may have had one. */
 	readonly reason: 'busy' | 'refused' | 'lost' | 'history-gone' | 'invalid';
 	readonly message: string;
 };
 
-/** Result of a call to the store. */
+/** Result of a store call. */
 export type StoreResult<T> = {readonly kind: 'ok'; readonly value: T} | {readonly kind: 'failed'; readonly failure: StoreFailure};
 
-/** Answer to a conditional write. */
+/** Result of a conditional write. */
 export type WriteResult = {
 	readonly isApplied: boolean;
-	/** Version of the written rows when applied. */
+	/** Version of the written rows, if the write was applied. */
 	readonly version: number;
 };
 
-/** Rows and objects of the platform that the gateway reads and writes. */
+/** The platform store: shared rows, registered instances and the configuration. */
 export type CoordinationStore = {
-	/** Reads all shared rows as of one moment. */
+	/** Reads a consistent snapshot of all shared rows. */
 	readSharedRows(timeoutMs: number): Promise<StoreResult<readonly SharedRow[]>>;
 	writeSharedRows(writes: readonly SharedRowWrite[], timeoutMs: number): Promise<StoreResult<WriteResult>>;
 	readInstances(timeoutMs: number): Promise<StoreResult<readonly Instance[]>>;
-	/** Reads the newest configuration with the version of the store at that moment. */
+	/** Reads the latest configuration and the store version of that read. */
 	readConfiguration(timeoutMs: number): Promise<StoreResult<VersionedConfiguration>>;
-	/** Waits for a configuration newer than a version of the store; empty when the wait ended without one. */
+	/** Long-polls for a configuration newer than a store version; the configuration is undefined if none appeared within `waitMs`. */
 	pollConfiguration(afterVersion: number, waitMs: number, timeoutMs: number): Promise<StoreResult<VersionedConfiguration>>;
 };
 
-/** A configuration, if there was one, and the store's version from which to go on waiting. */
+/** A configuration, if there is one, and the store version to continue polling from. */
 export type VersionedConfiguration = {
 	readonly configuration: GatewayConfiguration | undefined;
 	readonly storeVersion: number;
--- a/packages/gateway/src/ports/instance-connector.ts
+++ b/packages/gateway/src/ports/instance-connector.ts
@@ -4,28 +4,28 @@
 	type OutgoingStatement, type InstanceErrorKind, type StatementOutcome, type InstanceStatus,
 } from '../statements/index.js';
 
-/** A connection to an instance in the name of one client account. */
+/** A connection to an instance on behalf of one client account. */
 export type InstanceConnection = {
 	readonly isOpen: boolean;
 	/**
-	 * Sends statements back to back and waits for all their answers.
+	 * Pipelines statements and waits for all responses.
 	 * @param statements - Statements, in order.
-	 * @param timeoutMs - Time for all of them; when it runs out the connection is closed.
+	 * @param timeoutMs - Timeout of the whole batch; the connection is closed when it expires.
 	 */
 	run(statements: readonly OutgoingStatement[], timeoutMs: number): Promise<StatementOutcome[]>;
-	/** Reads the row of a `control-status` answer. */
+	/** Parses the response to `control-status`. */
 	parseStatus(outcome: StatementOutcome): InstanceStatus | undefined;
 	onClosed(listener: () => void): void;
 	close(): void;
 };
 
-/** Why a connection could not be opened. */
+/** Reason why a connection could not be opened. */
 export type ConnectFailure = {
 	readonly reason: InstanceErrorKind | 'refused' | 'closed' | 'silent';
 	readonly message: string;
 };
 
-/** Result of opening a connection. */
+/** Result of a connection attempt. */
 export type ConnectResult =
 	| {readonly kind: 'opened'; readonly connection: InstanceConnection; readonly position: LogPosition | undefined}
 	| {readonly kind: 'failed'; readonly failure: ConnectFailure};
@@ -33,8 +33,8 @@
 /** Opens connections to instances. */
 export type InstanceConnector = {
 	/**
-	 * Opens a connection and introduces the account.
-	 * @param account - Name that the instance is told, never a key.
+	 * Opens a connection and identifies the account.
+	 * @param account - Account name sent to the instance; never a key.
 	 */
 	open(instance: Instance, account: string, timeoutMs: number): Promise<ConnectResult>;
 };
--- a/packages/gateway/src/ports/peer-network.ts
+++ b/packages/gateway/src/ports/peer-network.ts
@@ -1,30 +1,30 @@
 import {type parsePeerMessage, type PeerMessage} from '@chicorysaddle/protocol/coordination';
 
-/** Called with each message; an invalid one is passed on as such. */
+/** Handles a message from a peer; malformed messages arrive with kind `invalid`. */
 export type PeerMessageHandler = (message: ReturnType<typeof parsePeerMessage>) => void;
 
-/** What listens on a connection between two VMs. */
+/** Event handlers of a peer link. */
 export type PeerHandlers = {
 	readonly onMessage: PeerMessageHandler;
 	readonly onClosed: () => void;
 };
 
-/** A connection between two VMs. */
+/** Connection between two VMs. */
 export type PeerLink = {
 	readonly isOpen: boolean;
 	send(message: PeerMessage): void;
 	close(): void;
 };
 
-/** A listener for other VMs. */
+/** Server that accepts connections from other VMs. */
 export type PeerServer = {
 	close(): void;
 };
 
-/** Connects VMs. */
+/** Transport between VMs. */
 export type PeerNetwork = {
-	/** Connects to a VM; the link may be used before it is open. */
+	/** Connects to a VM; messages can be sent before the link is open. */
 	connect(address: string, handlers: PeerHandlers): PeerLink;
-	/** Takes connections; `accept` returns what listens on each. */
+	/** Accepts connections; `accept` returns the handlers for each link. */
 	listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerServer>;
 };
--- a/packages/gateway/src/ports/promotion-service.ts
+++ b/packages/gateway/src/ports/promotion-service.ts
@@ -1,16 +1,17 @@
-/** Who orders a promotion. */
+/** Request to promote an instance to primary. */
 export type PromotionRequest = {
 	readonly group: string;
 	readonly instanceId: string;
+	/** VM that requests the promotion. */
 	readonly holder: string;
-	/** Rises with each change of holder. */
+	/** Increases with each change of holder. */
 	readonly fencingToken: number;
 };
 
-/** What became of an order; `unknown` when no answer came. */
+/** Result of a promotion request; `unknown` if no response arrived. */
 export type PromotionResult = 'accepted' | 'rejected' | 'busy' | 'unknown';
 
-/** The platform's call that names a group's next primary. */
+/** Platform API that promotes an instance to primary of its group. */
 export type PromotionService = {
-	promote(order: PromotionRequest, timeoutMs: number): Promise<PromotionResult>;
+	promote(request: PromotionRequest, timeoutMs: number): Promise<PromotionResult>;
 };
--- a/packages/gateway/src/wiring/create-gateway.ts
+++ b/packages/gateway/src/wiring/create-gateway.ts
@@ -15,7 +15,7 @@
 import {type SessionDependencies} from '../sessions/index.js';
 import {TermRegistry} from '../terms/index.js';
 
-/** What a gateway is connected to. */
+/** External dependencies of a gateway. */
 export type GatewayPorts = {
 	readonly clock: Clock;
 	readonly store: CoordinationStore;
@@ -23,11 +23,11 @@
 	readonly promotion: PromotionService;
 	readonly network: PeerNetwork;
 	readonly getSettings: AdjustableSettingsSource;
-	/** Where the log goes; standard output where it is absent. */
+	/** Destination of log lines; defaults to standard output. */
 	readonly logOutput?: LogOutput;
 };
 
-/** A gateway with what its surroundings may look at. */
+/** A gateway and the parts that its host process accesses. */
 export type WiredGateway = {
 	readonly gateway: Gateway;
 	readonly log: EventLog;
@@ -35,31 +35,31 @@
 	readonly terms: TermRegistry;
 };
 
-/** Wires the parts of a gateway; it is the only place that does. */
+/** Creates a gateway and all its parts; the composition root of the package. */
 export function createGateway(identity: GatewayIdentity, {
-	clock, store: storeTable, connector, promotion, network, getSettings, logOutput,
+	clock, store: platformStore, connector, promotion, network, getSettings, logOutput,
 }: GatewayPorts): WiredGateway {
 	const log = new EventLog(identity.vm, logOutput);
 	const metrics = new GatewayMetrics();
-	const table = createInstrumentedStore(storeTable, metrics);
+	const store = createInstrumentedStore(platformStore, metrics);
 	const configuration = new ConfigurationView();
-	const configurationWatcher = new ConfigurationWatcher(table, configuration, Math.random, log);
+	const configurationWatcher = new ConfigurationWatcher(store, configuration, Math.random, log);
 	const instances = new InstanceRegistry(log);
-	const instanceWatcher = new InstanceWatcher(table, instances, clock, Math.random, log);
+	const instanceWatcher = new InstanceWatcher(store, instances, clock, Math.random, log);
 	const terms = new TermRegistry(clock, log, metrics);
 	const dispatcher = new Dispatcher({
 		configuration, instances, terms, connector, clock, metrics, log, zone: identity.zone, random: Math.random, getSettings,
 	});
 	const limiter = new AccountLimiter(configuration, getSettings, clock, metrics, log);
-	const coordinatorLease = new CoordinatorLease(table, identity, clock, log);
+	const coordinatorLease = new CoordinatorLease(store, identity, clock, log);
 	const coordinator = new Coordinator({
 		vm: identity.vm, coordinatorLease, terms, configuration, clock, limitWindowMs: getSettings().limitWindowMs,
 	});
 	const promoter = new Promoter({
-		vm: identity.vm, coordinatorLease, coordinator, terms, instances, configuration, dispatcher, store: table, connector, promotionService: promotion, clock, log, metrics,
+		vm: identity.vm, coordinatorLease, coordinator, terms, instances, configuration, dispatcher, store, connector, promotionService: promotion, clock, log, metrics,
 	});
 	const member = new ClusterMember({
-		identity, coordinatorLease, coordinator, promoter, terms, configuration, configurationWatcher, instances, instanceWatcher, dispatcher, limiter, store: table, network, clock, log, getSettings,
+		identity, coordinatorLease, coordinator, promoter, terms, configuration, configurationWatcher, instances, instanceWatcher, dispatcher, limiter, store, network, clock, log, getSettings,
 	});
 	const sessionDependencies: SessionDependencies = {
 		configuration, dispatcher, limiter, terms, clock, log, metrics,
