--- a/packages/gateway/src/tests/fakes/fake-database.ts
+++ b/packages/gateway/src/tests/fakes/fake-database.ts
@@ -7,36 +7,36 @@
 	type InstanceErrorKind, type InstanceStatus, type OutgoingStatement, type SessionState, type StatementOutcome,
 } from '../../statements/index.js';
 
-/** Something that an instance did for a statement. */
+/** A read or commit executed by a fake instance. */
 export type DatabaseEvent = {
 	readonly kind: 'read' | 'commit';
 	readonly at: number;
 	readonly instanceId: string;
 	readonly account: string;
 	readonly requestId: string;
-	/** Log of the instance at that moment. */
+	/** Log position of the instance at that time. */
 	readonly position: LogPosition;
 	readonly values: ReadonlyMap<string, string>;
 	readonly shape: string | undefined;
 };
 
-/** Settings of a group that a test may change. */
+/** Settings of a fake group; tests may change them at any time. */
 export type FakeDatabaseOptions = {
 	serviceMs: number;
 	lagMs: number;
 	promoteMs: number;
 	maxConnections: number;
-	/** Statements and handshakes that an instance does at once; without bound where absent. */
+	/** Concurrent statements and handshakes per instance; unlimited if absent. */
 	slots?: number;
-	/** Statements that wait for a slot before others are refused; handshakes always wait. */
+	/** Maximum statements waiting for a slot; further ones are refused as busy. Handshakes always wait. */
 	queue?: number;
-	/** Time for which a new connection takes a slot. */
+	/** Time for which the handshake of a new connection occupies a slot, milliseconds. */
 	handshakeMs?: number;
 };
 
 const connectDelayMs = 2;
 
-/** An instance of a group. */
+/** Fake instance of a group. */
 export class FakeInstance {
 	role: 'primary' | 'replica' = 'replica';
 	term = 1;
@@ -49,7 +49,7 @@
 	#occupiedSlots = 0;
 	readonly #queue: Array<() => void> = [];
 
-	/** Takes a slot for a while; false when too many wait already. */
+	/** Waits for a slot and occupies it for a time; returns false if the queue is full. */
 	async occupySlot(ms: number, isHandshake = false): Promise<boolean> {
 		const {slots = Number.POSITIVE_INFINITY, queue = 0} = this.database.options;
 		if (this.#occupiedSlots >= slots) {
@@ -76,7 +76,7 @@
 		}
 	}
 
-	/** Starts again with its log; it leads again unless another was promoted. */
+	/** Restarts the instance with its log; a former primary stays primary unless another instance was promoted. */
 	restart(): void {
 		this.isAlive = true;
 		if (this.database.term > this.term) {
@@ -86,16 +86,16 @@
 	}
 }
 
-/** A group of instances in memory. */
+/** In-memory group of instances, with its promotion service. */
 export class FakeDatabase implements PromotionService {
 	readonly instances: FakeInstance[];
 	readonly events: DatabaseEvent[] = [];
 	readonly promotionRequests: PromotionRequest[] = [];
-	/** Promotions that took effect, with the log of the instance that leads since. */
+	/** Completed promotions, with the log position of the new primary at that time. */
 	readonly promotions: Array<{readonly at: number; readonly term: number; readonly position: LogPosition}> = [];
-	/** Pairs of VM and instance that cannot reach each other. */
+	/** Pairs `VM INSTANCE` that cannot reach each other. */
 	readonly unreachablePairs = new Set<string>();
-	/** Errors that the next statements of a kind get. */
+	/** Errors to inject into the next statements of a kind. */
 	readonly plannedErrors: Array<{readonly kind: string; readonly error: InstanceErrorKind | 'lost-after' | 'lost-before'}> = [];
 	term = 1;
 
@@ -122,7 +122,7 @@
 		this.events.push({...event, at: this.getNow()});
 	}
 
-	/** Appends a commit and ships it. */
+	/** Appends a commit to the log of an instance and replicates it after `lagMs`. */
 	commit(instance: FakeInstance): LogPosition {
 		instance.position = {term: instance.term, offset: instance.position.offset + 1};
 		const {position} = instance;
@@ -167,7 +167,7 @@
 	}
 }
 
-/** Reaches the instances of several groups for one VM. */
+/** Connects one VM to the fake instances of several groups. */
 export class FakeConnector implements InstanceConnector {
 	openedConnections = 0;
 
@@ -196,7 +196,7 @@
 	}
 }
 
-/** A connection to an instance in memory. */
+/** Connection to a fake instance. */
 export class FakeConnection implements InstanceConnection {
 	isOpen = true;
 	readonly values = new Map<string, string>();
@@ -252,22 +252,22 @@
 		}
 
 		return new Promise(resolve => {
-			const cut = () => {
-				this.#abortCallbacks.delete(cut);
+			const abort = () => {
+				this.#abortCallbacks.delete(abort);
 				clearTimeout(timer);
 				resolve({kind: 'broken', reason: 'closed'});
 			};
 
 			const timer = setTimeout(() => {
-				this.#abortCallbacks.delete(cut);
+				this.#abortCallbacks.delete(abort);
 				resolve({kind: 'broken', reason: 'timeout'});
 				this.close();
 			}, timeoutMs);
-			this.#abortCallbacks.add(cut);
+			this.#abortCallbacks.add(abort);
 			void (async () => {
 				const outcome = await this.#runStatement(statement);
 				if (outcome !== undefined && this.isOpen && !this.instance.database.isUnreachable(this.vm, this.instance)) {
-					this.#abortCallbacks.delete(cut);
+					this.#abortCallbacks.delete(abort);
 					clearTimeout(timer);
 					resolve(outcome);
 				}
--- a/packages/gateway/src/tests/fakes/fake-network.ts
+++ b/packages/gateway/src/tests/fakes/fake-network.ts
@@ -5,16 +5,16 @@
 
 const delayMs = 2;
 
-/** Carries messages between VMs in memory, unless they are cut off. */
+/** In-memory network between VMs; isolated VMs send and receive nothing. */
 export class FakeSwitch {
 	readonly listeners = new Map<string, (link: PeerLink) => PeerHandlers>();
-	/** VMs that cannot send to or receive from any other. */
+	/** VMs that are partitioned from all others. */
 	readonly isolatedVms = new Set<string>();
-	/** Messages sent by all VMs. */
+	/** Number of messages sent by all VMs. */
 	sentMessages = 0;
 }
 
-/** One end of a link. */
+/** One end of a peer link. */
 class FakeLink implements PeerLink {
 	isOpen = true;
 	remote: FakeLink | undefined;
@@ -36,7 +36,7 @@
 		if (this.isOpen) {
 			this.isOpen = false;
 			this.handlers?.onClosed();
-			// A cut swallows the close like anything else.
+			// A partition drops the close like any other packet.
 			if (!this.network.isolatedVms.has(this.from) && !this.network.isolatedVms.has(this.to)) {
 				this.remote?.close();
 			}
@@ -44,7 +44,7 @@
 	}
 }
 
-/** The network as one VM has it; addresses are names of VMs with a port. */
+/** Peer network of one VM; an address is a VM name with a port. */
 export class FakeNetwork implements PeerNetwork {
 	constructor(private readonly vm: string, private readonly network: FakeSwitch) {}
 
--- a/packages/gateway/src/tests/fakes/fake-store.ts
+++ b/packages/gateway/src/tests/fakes/fake-store.ts
@@ -4,18 +4,18 @@
 	type VersionedConfiguration, type CoordinationStore, type SharedRow, type SharedRowWrite, type StoreResult, type WriteResult,
 } from '../../ports/index.js';
 
-/** How the store treats a VM. */
+/** Injected store fault: `busy` rejects calls, `silent` lets them time out, `answers-lost` applies writes but loses the responses. */
 export type StoreFault = 'none' | 'busy' | 'silent' | 'answers-lost';
 
 const responseDelayMs = 4;
 
-/** The shared rows, instances and configuration of a test, with the store's troubles. */
+/** In-memory store with injectable faults. */
 export class FakeStore {
 	readonly rows = new Map<string, SharedRow>();
 	instances: Instance[] = [];
 	configuration: GatewayConfiguration | undefined;
 	readonly faultsByVm = new Map<string, StoreFault>();
-	/** Whether calls for the instances are answered. */
+	/** Whether `readInstances` succeeds. */
 	areInstancesReadable = true;
 	fault: StoreFault = 'none';
 	version = 0;
@@ -47,7 +47,7 @@
 	}
 }
 
-/** The store as one VM reaches it. */
+/** Store client of one VM. */
 export class FakeStoreClient implements CoordinationStore {
 	constructor(private readonly vm: string, private readonly store: FakeStore) {}
 
@@ -85,23 +85,23 @@
 		return this.readConfiguration(timeoutMs);
 	}
 
-	async #call<T>(timeoutMs: number, work: () => T, isWrite = false): Promise<StoreResult<T>> {
-		const trouble = this.store.fault === 'none' ? this.store.faultsByVm.get(this.vm) ?? 'none' : this.store.fault;
-		if (trouble === 'busy') {
+	async #call<T>(timeoutMs: number, operation: () => T, isWrite = false): Promise<StoreResult<T>> {
+		const fault = this.store.fault === 'none' ? this.store.faultsByVm.get(this.vm) ?? 'none' : this.store.fault;
+		if (fault === 'busy') {
 			return {kind: 'failed', failure: {reason: 'busy', message: 'status 503'}};
 		}
 
-		if (trouble === 'answers-lost' && isWrite) {
-			work();
+		if (fault === 'answers-lost' && isWrite) {
+			operation();
 		}
 
-		if (trouble === 'silent' || (trouble === 'answers-lost' && isWrite)) {
+		if (fault === 'silent' || (fault === 'answers-lost' && isWrite)) {
 			await pause(timeoutMs);
 			return {kind: 'failed', failure: {reason: 'lost', message: 'no answer'}};
 		}
 
 		await pause(responseDelayMs);
-		return {kind: 'ok', value: work()};
+		return {kind: 'ok', value: operation()};
 	}
 }
 
--- a/packages/gateway/src/tests/fakes/index.ts
+++ b/packages/gateway/src/tests/fakes/index.ts
@@ -1,3 +1,3 @@
-/** Stand-ins of a group of instances and of the store, for tests of other packages. */
+/** Fake database group and fake store, for tests of other packages. */
 export * from './fake-database.js';
 export * from './fake-store.js';
--- a/packages/gateway/src/tests/fakes/test-cluster.ts
+++ b/packages/gateway/src/tests/fakes/test-cluster.ts
@@ -10,7 +10,7 @@
 import {FakeStore, FakeStoreClient} from './fake-store.js';
 import {VirtualTime} from './virtual-time.js';
 
-/** Keeps what is logged. */
+/** Collects logged events. */
 class LogSink extends Writable {
 	readonly events: Array<{readonly vm: string; readonly name: string; readonly fields: Readonly<Record<string, unknown>>}> = [];
 
@@ -21,7 +21,7 @@
 	}
 }
 
-/** A caller's session in a test. */
+/** Caller with one session. */
 export class TestCaller {
 	rejection: Refusal | undefined;
 	isClosed = false;
@@ -32,7 +32,7 @@
 	constructor(private readonly cluster: TestCluster, private readonly name: string, gateway: WiredGateway['gateway'], database: string, key: string) {
 		this.#session = gateway.openSession({connectionId: name, database, keyDigest: key}, {
 			sendReady() {
-				// The session is open as soon as it was returned.
+				// `openSession` returns an open session, so there is nothing to wait for.
 			},
 			sendAnswer: answer => {
 				this.#onAnswer?.(answer);
@@ -47,7 +47,7 @@
 		});
 	}
 
-	/** Id of the newest request. */
+	/** Id of the latest request. */
 	get requestId(): string {
 		return `${this.name}-${this.#requestCount}`;
 	}
@@ -56,7 +56,7 @@
 		return this.#session!;
 	}
 
-	/** Sends a statement without waiting. */
+	/** Sends a statement without advancing virtual time; resolves with its response. */
 	async send(statement: Statement): Promise<CallerAnswer> {
 		this.#requestCount += 1;
 		return new Promise(resolve => {
@@ -65,7 +65,7 @@
 		});
 	}
 
-	/** Sends a statement and waits for its answer. */
+	/** Sends a statement and advances virtual time until its response arrives. */
 	async sendAndWait(statement: Statement): Promise<CallerAnswer> {
 		return this.cluster.time.waitFor(this.send(statement));
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-/** Statements by their shortest names. */
+/** Sample statements. */
 export const statements = {
 	read: {kind: 'read', text: 'READ x'},
 	write: {kind: 'write', text: 'WRITE x y'},
@@ -85,14 +85,14 @@
 	rollBack: {kind: 'roll-back', text: 'ROLLBACK'},
 } as const satisfies Record<string, Statement>;
 
-/** Returns the kind of a refusal, or what the answer was instead. */
+/** Returns the kind of a refusal, or else the signature, or `acknowledged` if there is none. */
 export function describeAnswer(answer: CallerAnswer): string {
 	return answer.result.kind === 'refused' ? answer.result.refusal.kind : answer.result.signature ?? 'acknowledged';
 }
 
 const accountNames = ['small', 'large'];
 
-/** Creates a configuration with one group, a route of each kind, and two accounts whose keys are their names. */
+/** Creates a configuration with one group, one route per consistency, an anonymous route, and two accounts whose key digests are their names. */
 export function createConfiguration(version: number, changes: Partial<GatewayConfiguration> = {}): GatewayConfiguration {
 	const route = {
 		group: 'db', statementTimeoutMs: 800, targetLatencyMs: 200, priority: 1, allowsAnonymous: false,
@@ -123,7 +123,7 @@
 	};
 }
 
-/** Several gateways before one group, in virtual time. */
+/** Several gateways in front of one fake group, in virtual time. */
 export class TestCluster {
 	readonly time = new VirtualTime();
 	readonly store = new FakeStore();
@@ -141,7 +141,7 @@
 		});
 	}
 
-	/** Starts all VMs and waits until they may use the primary. */
+	/** Starts all VMs and waits until they can use the primary. */
 	async start(configuration = createConfiguration(1)): Promise<void> {
 		this.store.setConfiguration(configuration);
 		this.store.instances = this.database.describeInstances();
@@ -177,12 +177,12 @@
 		return this.gateways.get(vm)!;
 	}
 
-	/** Returns the VM that holds the coordinator's row. */
+	/** Returns the VM that holds the coordinator lease, according to the store. */
 	getCoordinator(): string {
 		return (JSON.parse(this.store.rows.get('coordinator')!.value) as {holder: string}).holder;
 	}
 
-	/** Returns the row of the group. */
+	/** Returns the term row of the group. */
 	getTermRow(): {term: number; primaryId: string; phase: string} {
 		return JSON.parse(this.store.rows.get('group/db')!.value) as {term: number; primaryId: string; phase: string};
 	}
--- a/packages/gateway/src/tests/fakes/virtual-time.ts
+++ b/packages/gateway/src/tests/fakes/virtual-time.ts
@@ -1,16 +1,16 @@
 import {mock} from 'node:test';
 import {type Clock} from '../../ports/index.js';
 
-/** Step of virtual time, milliseconds. */
+/** Resolution of virtual time, milliseconds. */
 const stepMs = 5;
 
-/** Time that only moves when a test says so: timers, the steady clock and the time of day. */
+/** Virtual time, advanced explicitly by tests: mocked timers, monotonic clock and wall clock. */
 export class VirtualTime implements Clock {
 	#now = 0;
 	#wallOffset = 1_700_000_000_000;
 
 	constructor() {
-		// A test that failed may have left them.
+		// A failed test may have left mocked timers enabled.
 		mock.timers.reset();
 		mock.timers.enable({apis: ['setTimeout', 'setInterval']});
 	}
@@ -23,12 +23,12 @@
 		return this.#now + this.#wallOffset;
 	}
 
-	/** Lets the time of day jump. */
+	/** Shifts wall-clock time. */
 	jumpWallTime(ms: number): void {
 		this.#wallOffset += ms;
 	}
 
-	/** Lets time pass. */
+	/** Advances time and runs the timers that become due. */
 	async advance(ms: number): Promise<void> {
 		for (let passed = 0; passed < ms; passed += stepMs) {
 			this.#now += stepMs;
@@ -37,7 +37,7 @@
 		}
 	}
 
-	/** Lets time pass until something is there. */
+	/** Advances time until a promise settles; throws if it does not within `atMostMs`. */
 	async waitFor<T>(promise: Promise<T>, atMostMs = 20_000): Promise<T> {
 		const state = {isSettled: false};
 		void (async () => {
@@ -53,7 +53,7 @@
 		}
 
 		if (!state.isSettled) {
-			throw new Error(`nothing came within ${atMostMs} ms`);
+			throw new Error(`the promise did not settle within ${atMostMs} ms of virtual time`);
 		}
 
 		return promise;
@@ -64,7 +64,7 @@
 	}
 }
 
-/** Lets everything run that is due without time passing. */
+/** Runs pending callbacks without advancing time. */
 async function flush(): Promise<void> {
 	for (let turn = 0; turn < 4; turn++) {
 		await new Promise(resolve => {
--- a/packages/gateway/src/tests/instances/instance-registry.test.ts
+++ b/packages/gateway/src/tests/instances/instance-registry.test.ts
@@ -6,7 +6,7 @@
 	id: 'i-1', group: 'db', address: 'i-1:1', zone: 'a', slots: 2, state: 'ready', reportedRole: 'primary', bornMs: 1,
 };
 
-test('the time since when an instance drains begins with its notice and ends when it is ready again or gone', t => {
+test('the draining time starts when draining is first seen and is cleared when the instance is ready again or removed', t => {
 	const registry = new InstanceRegistry(new EventLog('vm1', {write: () => undefined, writableLength: 0}));
 	registry.setInstances([instance], 0);
 	t.is(registry.getDrainingSince('i-1'), undefined);
--- a/packages/gateway/src/tests/observability/event-log.test.ts
+++ b/packages/gateway/src/tests/observability/event-log.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava';
 import {EventLog} from '../../observability/index.js';
 
-test('a reader that stalls costs no memory: lines are dropped, counted, and the count is written when it reads again', t => {
+test('a stalled reader does not let the output buffer grow without bound: lines are dropped', t => {
 	const written: string[] = [];
 	const output = {
 		writableLength: 0,
@@ -23,7 +23,7 @@
 	t.true(written.every(line => (JSON.parse(line) as {message: string}).message === 'term.adopted'));
 });
 
-test('successes are sampled and refusals are limited, state changes are not', t => {
+test('success and refusal events are rate-limited, state events at the same rate are all written', t => {
 	const counts: Record<string, number> = {};
 	const log = new EventLog('vm1', {
 		write(text: string) {
