--- a/packages/proxy/src/configuration/configuration-keeper.ts
+++ b/packages/proxy/src/configuration/configuration-replica.ts
@@ -10,7 +10,7 @@
 import {formatChange, parseChange} from './change-codec.js';
 
 /** Changes kept for peers that are behind. */
-const keptChanges = 256;
+const maxRetainedChanges = 256;
 const pushTimeoutMs = 700;
 
 /** Outcome of an operator's change. */
@@ -31,7 +31,7 @@
 };
 
 /** Parts that the keeper works with. */
-export type ConfigurationKeeperParts = {
+export type ConfigurationReplicaDependencies = {
 	readonly log: ConfigurationLog;
 	readonly freshness: FreshnessTracker;
 	readonly membership: Membership;
@@ -40,13 +40,13 @@
 };
 
 /** Keeps the configuration of this VM at the newest version that it hears of; it never goes back. */
-export class ConfigurationKeeper {
+export class ConfigurationReplica {
 	readonly current = new Configuration();
 	readonly #changes = new Map<number, ConfigurationChange>();
 	readonly #listeners: Array<(rows: readonly ParsedRow[]) => void> = [];
-	#catchUp: Promise<unknown> = Promise.resolve();
+	#lastCatchUp: Promise<unknown> = Promise.resolve();
 
-	constructor(private readonly parts: ConfigurationKeeperParts) {}
+	constructor(private readonly dependencies: ConfigurationReplicaDependencies) {}
 
 	get version(): number {
 		return this.current.version;
@@ -59,24 +59,24 @@
 
 	/** Reads the newest version from the store and catches up with it. */
 	async pollStore(): Promise<Either<Refusal, number>> {
-		const sentAt = this.parts.clock.getNow();
-		const head = await this.parts.log.readHead();
+		const sentAt = this.dependencies.clock.getNow();
+		const head = await this.dependencies.log.readHead();
 		if (head.isLeft()) {
 			return head;
 		}
 
 		const {version, snapshotVersion} = head.unsafeCoerce();
-		await this.#runInTurn(async () => this.#catchUpFromStore(version, snapshotVersion));
+		await this.#runExclusively(async () => this.#catchUpFromStore(version, snapshotVersion));
 		if (this.version >= version) {
-			this.parts.freshness.observeStoreSync(sentAt);
+			this.dependencies.freshness.observeStoreSync(sentAt);
 		}
 
 		return Right(version);
 	}
 
 	/** Catches up with a peer. */
-	async pullFrom(peer: Peer): Promise<void> {
-		await this.#runInTurn(async () => {
+	async pullFromPeer(peer: Peer): Promise<void> {
+		await this.#runExclusively(async () => {
 			const response = await peer.client.pullConfiguration({fromVersion: BigInt(this.version)}, {timeoutMs: pushTimeoutMs * 4});
 			if (Number(response.snapshotVersion) > this.version) {
 				this.#loadSnapshot(Number(response.snapshotVersion), response.snapshot.map(row => ({key: row.key, value: row.value})));
@@ -116,7 +116,7 @@
 	}
 
 	/** Writes an operator's change, then tells every peer. */
-	async applyRequest(request: ChangeRequest): Promise<Either<Refusal, ApplyResult>> {
+	async applyChangeRequest(request: ChangeRequest): Promise<Either<Refusal, ApplyResult>> {
 		const head = await this.pollStore();
 		if (head.isLeft()) {
 			return head;
@@ -124,7 +124,7 @@
 
 		const known = this.#changes.get(request.expectedVersion + 1);
 		if (known?.writeId === request.writeId) {
-			return Right(await this.#announce(known));
+			return Right(await this.#replicateChange(known));
 		}
 
 		if (this.version !== request.expectedVersion) {
@@ -133,36 +133,36 @@
 
 		const checked = this.current.checkRows(request.rows).mapLeft(errors => refusals.invalid(errors.join('\n')));
 		const allowed = checked.isRight() ? await this.#checkVoterChange(checked.unsafeCoerce()) : checked;
-		return allowed.isLeft() ? (allowed) : this.#write(request);
+		return allowed.isLeft() ? (allowed) : this.#writeChange(request);
 	}
 
 	/** Asks every peer to take a change, and returns whether a majority of the voters knows it. */
 	async confirmVersion(changes: readonly ConfigurationChange[], version: number): Promise<boolean> {
 		const voters = this.current.getVoterNames();
-		const {membership, freshness} = this.parts;
-		const knowing = new Set(freshness.isSynchronized ? [membership.self.name] : []);
-		const isMajority = () => voters.filter(voter => knowing.has(voter)).length >= getMajority(voters.length);
+		const {membership, freshness} = this.dependencies;
+		const acknowledgedBy = new Set(freshness.isSynchronized ? [membership.self.name] : []);
+		const hasMajority = () => voters.filter(voter => acknowledgedBy.has(voter)).length >= getMajority(voters.length);
 		return new Promise(resolve => {
 			const pushes = membership.peers.map(async peer => {
-				if (await this.#pushTo(peer, changes, version)) {
-					knowing.add(peer.name);
+				if (await this.#pushToPeer(peer, changes, version)) {
+					acknowledgedBy.add(peer.name);
 				}
 
-				if (isMajority()) {
+				if (hasMajority()) {
 					resolve(true);
 				}
 			});
 			void Promise.all(pushes).then(() => {
-				resolve(voters.length === 0 || isMajority());
+				resolve(voters.length === 0 || hasMajority());
 			});
 		});
 	}
 
-	async #write(request: ChangeRequest): Promise<Either<Refusal, ApplyResult>> {
+	async #writeChange(request: ChangeRequest): Promise<Either<Refusal, ApplyResult>> {
 		const change: ConfigurationChange = {...request, version: request.expectedVersion + 1};
 		const isSnapshotDue = change.version % snapshotInterval === 0;
 		const snapshot = isSnapshotDue ? {version: this.version, rows: this.current.getRows()} : undefined;
-		const written = await this.parts.log.writeChange(change, snapshot);
+		const written = await this.dependencies.log.writeChange(change, snapshot);
 		if (written.isLeft()) {
 			return written;
 		}
@@ -174,16 +174,16 @@
 		}
 
 		this.applyChanges([change]);
-		return Right(await this.#announce(change));
+		return Right(await this.#replicateChange(change));
 	}
 
-	async #announce(change: ConfigurationChange): Promise<ApplyResult> {
-		const isKnown = await this.confirmVersion([change], change.version);
-		this.parts.logger.info('configuration change written', {version: change.version, author: change.author, accepted: isKnown});
-		return {kind: isKnown ? 'accepted' : 'committed', version: change.version};
+	async #replicateChange(change: ConfigurationChange): Promise<ApplyResult> {
+		const isAccepted = await this.confirmVersion([change], change.version);
+		this.dependencies.logger.info('configuration change written', {version: change.version, author: change.author, accepted: isAccepted});
+		return {kind: isAccepted ? 'accepted' : 'committed', version: change.version};
 	}
 
-	async #pushTo(peer: Peer, changes: readonly ConfigurationChange[], version: number): Promise<boolean> {
+	async #pushToPeer(peer: Peer, changes: readonly ConfigurationChange[], version: number): Promise<boolean> {
 		try {
 			const response = await peer.client.pushConfiguration({changes: changes.map(change => formatChange(change))}, {timeoutMs: pushTimeoutMs});
 			peer.configurationVersion = Math.max(peer.configurationVersion, Number(response.version));
@@ -210,14 +210,14 @@
 
 	async #catchUpFromStore(version: number, snapshotVersion: number): Promise<void> {
 		if (snapshotVersion > this.version) {
-			const snapshot = await this.parts.log.readSnapshot(snapshotVersion);
+			const snapshot = await this.dependencies.log.readSnapshot(snapshotVersion);
 			snapshot.ifRight(({version: at, rows}) => {
 				this.#loadSnapshot(at, rows);
 			});
 		}
 
 		while (this.version < version) {
-			const change = await this.parts.log.readChange(this.version + 1);
+			const change = await this.dependencies.log.readChange(this.version + 1);
 			if (change.isLeft()) {
 				return;
 			}
@@ -229,10 +229,10 @@
 	#loadSnapshot(version: number, rows: readonly StoredRow[]): void {
 		this.current.loadSnapshot(version, rows).caseOf({
 			Left: errors => {
-				this.parts.logger.error('configuration snapshot refused', {version, errors: errors.join('; ')});
+				this.dependencies.logger.error('configuration snapshot refused', {version, errors: errors.join('; ')});
 			},
 			Right: parsed => {
-				this.#notify(parsed);
+				this.#notifyListeners(parsed);
 			},
 		});
 	}
@@ -240,30 +240,30 @@
 	#applyChange(change: ConfigurationChange): void {
 		this.current.applyChange(change).caseOf({
 			Left: errors => {
-				this.parts.logger.error('configuration change refused', {version: change.version, errors: errors.join('; ')});
+				this.dependencies.logger.error('configuration change refused', {version: change.version, errors: errors.join('; ')});
 			},
 			Right: rows => {
 				this.#changes.set(change.version, change);
-				this.#changes.delete(change.version - keptChanges);
-				this.#notify(rows);
+				this.#changes.delete(change.version - maxRetainedChanges);
+				this.#notifyListeners(rows);
 			},
 		});
 	}
 
-	#notify(rows: readonly ParsedRow[]): void {
+	#notifyListeners(rows: readonly ParsedRow[]): void {
 		for (const listener of this.#listeners) {
 			listener(rows);
 		}
 	}
 
 	/** Runs one catch-up at a time. */
-	async #runInTurn<T>(task: () => Promise<T>): Promise<T> {
-		const previous = this.#catchUp;
-		const own = (async () => {
+	async #runExclusively<T>(task: () => Promise<T>): Promise<T> {
+		const previous = this.#lastCatchUp;
+		const run = (async () => {
 			await previous.catch(() => undefined);
 			return task();
 		})();
-		this.#catchUp = own.catch(() => undefined);
-		return own;
+		this.#lastCatchUp = run.catch(() => undefined);
+		return run;
 	}
 }
--- a/packages/proxy/src/configuration/index.ts
+++ b/packages/proxy/src/configuration/index.ts
@@ -1,2 +1,2 @@
 export * from './change-codec.js';
-export * from './configuration-keeper.js';
+export * from './configuration-replica.js';
--- a/packages/proxy/src/limits/limiter.ts
+++ b/packages/proxy/src/limits/account-limiter.ts
@@ -4,13 +4,13 @@
 } from '@chicorysaddle/decisions';
 import {type AccountLimits, type Refusal, refusals} from '@chicorysaddle/model';
 import {type Clock, type Logger, type Metrics} from '../observability/index.js';
-import {type ConfigurationKeeper} from '../configuration/index.js';
+import {type ConfigurationReplica} from '../configuration/index.js';
 import {type Membership} from '../membership/index.js';
-import {AllocationChannel} from './allocation-channel.js';
-import {type LeaseKeeper} from './lease-keeper.js';
+import {AllocatorClient} from './allocator-client.js';
+import {type LeaseParticipant} from './lease-participant.js';
 import {type LeaseRegistry} from './lease-registry.js';
 import {rankVms} from './rank-vms.js';
-import {formatAllocatorState} from './state-codec.js';
+import {formatAllocatorState} from './allocator-state-codec.js';
 import {formatReport, parseGrant} from './share-codec.js';
 
 /** Names of the ways to divide limits between VMs. */
@@ -18,19 +18,19 @@
 
 const reportTimeoutMs = 400;
 const handOverTimeoutMs = 1000;
-const waiterSweepMs = 10;
+const sweepIntervalMs = 10;
 /** Validity of a share that never changes hands, in milliseconds. */
-const foreverMs = 1e12;
+const staticShareValidityMs = 1e12;
 
 /** How a successor answered; one that did not answer may have taken the books. */
 type HandOverOutcome = 'taken' | 'declined' | 'no-answer';
 
-type Pending = {readonly account: string; readonly resolve: (result: Either<Refusal, void>) => void};
+type PendingRequest = {readonly account: string; readonly resolve: (result: Either<Refusal, void>) => void};
 
 /** Parts that the limiter works with. */
-export type LimiterParts = {
+export type AccountLimiterDependencies = {
 	readonly membership: Membership;
-	readonly configuration: ConfigurationKeeper;
+	readonly configuration: ConfigurationReplica;
 	readonly leases: LeaseRegistry;
 	readonly clock: Clock;
 	readonly metrics: Metrics;
@@ -39,21 +39,21 @@
 };
 
 /** Keeps every client account to its rate and burst over all VMs together. */
-export class Limiter {
-	readonly #channels = new Map<string, AllocationChannel>();
-	readonly #pending = new Map<number, Pending>();
+export class AccountLimiter {
+	readonly #allocatorClients = new Map<string, AllocatorClient>();
+	readonly #pendingRequests = new Map<number, PendingRequest>();
 	/** Allocators of the leases that this VM holds; one without a name under the policy of owners. */
 	readonly #allocators = new Map<string, ShareAllocator>();
 	/** Books of predecessors, until their lease is had. */
-	readonly #statesToTake = new Map<string, AllocatorState>();
+	readonly #incomingStates = new Map<string, AllocatorState>();
 	#nextId = 1;
-	#timer: NodeJS.Timeout | undefined;
+	#sweepTimer: NodeJS.Timeout | undefined;
 
-	constructor(private readonly parts: LimiterParts) {
-		for (const keeper of parts.leases.keepers) {
+	constructor(private readonly dependencies: AccountLimiterDependencies) {
+		for (const keeper of dependencies.leases.participants) {
 			keeper.setAcquiredListener(now => {
 				const allocator = this.#createAllocator(now);
-				const state = this.#statesToTake.get(keeper.lease);
+				const state = this.#incomingStates.get(keeper.lease);
 				if (state !== undefined) {
 					allocator.importState(state, now);
 				}
@@ -62,77 +62,77 @@
 			});
 		}
 
-		if (parts.policy === 'owner') {
-			this.#allocators.set('', this.#createAllocator(parts.clock.getNow()));
+		if (dependencies.policy === 'owner') {
+			this.#allocators.set('', this.#createAllocator(dependencies.clock.getNow()));
 		}
 	}
 
 	/** Waits until a request may run, or refuses it. */
 	async admitRequest(account: string, deadline: number): Promise<Either<Refusal, void>> {
-		const {clock} = this.parts;
+		const {clock} = this.dependencies;
 		if (this.#getLimits(account) === undefined) {
 			return Right(undefined);
 		}
 
 		const id = this.#nextId;
 		this.#nextId += 1;
-		const channel = this.#getChannel(this.#channelNames[this.parts.policy](account));
+		const channel = this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account));
 		const decision = channel.admission.requestAdmission(id, account, deadline, clock.getNow());
 		if (decision !== undefined) {
-			return this.#describeDecision(decision, account);
+			return this.#createResult(decision, account);
 		}
 
-		void channel.reportIfDue().then(() => {
-			this.#advance();
+		void channel.sendReportIfDue().then(() => {
+			this.#resolveDecidedRequests();
 		});
 		return new Promise(resolve => {
-			this.#pending.set(id, {account, resolve});
-			this.#schedule();
+			this.#pendingRequests.set(id, {account, resolve});
+			this.#scheduleSweep();
 		});
 	}
 
 	/** Reports the demand of every account, as is done at regular times. */
 	async reportDemand(): Promise<void> {
-		if (this.parts.policy === 'static-split') {
+		if (this.dependencies.policy === 'static-split') {
 			this.#applyStaticSplit();
 			return;
 		}
 
-		await Promise.all([...this.#channels.values()].map(async channel => channel.reportIfDue()));
-		this.#advance();
+		await Promise.all([...this.#allocatorClients.values()].map(async channel => channel.sendReportIfDue()));
+		this.#resolveDecidedRequests();
 	}
 
 	/** Answers the report of a VM, where this one is the allocator. */
-	answerReport(report: DemandReport, lease: string): ShareGrant | undefined {
-		const now = this.parts.clock.getNow();
-		if (this.parts.policy === 'owner') {
+	handleReport(report: DemandReport, lease: string): ShareGrant | undefined {
+		const now = this.dependencies.clock.getNow();
+		if (this.dependencies.policy === 'owner') {
 			return this.#allocators.get('')?.createGrant(report, Number.POSITIVE_INFINITY, now);
 		}
 
-		const keeper = this.parts.leases.getKeeper(lease);
+		const keeper = this.dependencies.leases.getParticipant(lease);
 		return keeper?.isHeld(now) ? this.#allocators.get(lease)?.createGrant(report, keeper.heldUntil, now) : undefined;
 	}
 
 	/** Takes over the books of an allocator whose VM shuts down, where its lease can be had. */
 	async takeOver(lease: string, predecessor: string, term: number, state: AllocatorState): Promise<boolean> {
-		if (this.parts.membership.isDraining) {
+		if (this.dependencies.membership.isDraining) {
 			return false;
 		}
 
-		const keeper = this.parts.leases.getKeeper(lease);
-		this.#statesToTake.set(lease, state);
+		const keeper = this.dependencies.leases.getParticipant(lease);
+		this.#incomingStates.set(lease, state);
 		const isTaken = await keeper?.takeOver(predecessor, term) ?? false;
-		this.#statesToTake.delete(lease);
+		this.#incomingStates.delete(lease);
 		return isTaken;
 	}
 
 	/** Hands leases over to the VMs that rank first for them, so that the loss of a VM touches few accounts. */
-	async balanceLeases(): Promise<void> {
-		const {leases, clock, membership} = this.parts;
-		for (const keeper of leases.keepers) {
+	async rebalanceLeases(): Promise<void> {
+		const {leases, clock, membership} = this.dependencies;
+		for (const keeper of leases.participants) {
 			const successor = this.#findSuccessor(keeper.lease);
 			const allocator = this.#allocators.get(keeper.lease);
-			const isMisplaced = successor !== undefined && successor !== membership.self.name && membership.isSettled(successor);
+			const isMisplaced = successor !== undefined && successor !== membership.self.name && membership.isStable(successor);
 			if (!isMisplaced || allocator === undefined || !keeper.isHeld(clock.getNow())) {
 				continue;
 			}
@@ -141,43 +141,43 @@
 			if (outcome === 'declined') {
 				this.#allocators.set(keeper.lease, allocator);
 			} else {
-				keeper.abandon();
+				keeper.releaseLocally();
 			}
 		}
 	}
 
 	/** Gives all shares back to the allocator. */
-	async sendFarewell(): Promise<void> {
-		await Promise.all([...this.#channels.values()].map(async channel => channel.sendFarewell()));
+	async returnShares(): Promise<void> {
+		await Promise.all([...this.#allocatorClients.values()].map(async channel => channel.sendFinalReport()));
 	}
 
 	/** Gives all shares back, and the leases that this VM holds. */
-	async leave(): Promise<void> {
-		await this.sendFarewell();
-		await Promise.all(this.parts.leases.keepers.map(async keeper => this.#leaveLease(keeper)));
+	async returnSharesAndLeases(): Promise<void> {
+		await this.returnShares();
+		await Promise.all(this.dependencies.leases.participants.map(async keeper => this.#handOverOrRelease(keeper)));
 	}
 
 	/** Returns the tokens that this VM holds for an account. */
 	getTokens(account: string): number {
-		return this.#getChannel(this.#channelNames[this.parts.policy](account)).admission.holder.getTokens(account, this.parts.clock.getNow());
+		return this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account)).admission.holder.getTokens(account, this.dependencies.clock.getNow());
 	}
 
 	getLocalRate(account: string): number {
-		return this.#getChannel(this.#channelNames[this.parts.policy](account)).admission.holder.getRate(account, this.parts.clock.getNow());
+		return this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account)).admission.holder.getRate(account, this.dependencies.clock.getNow());
 	}
 
-	readonly #channelNames: Readonly<Record<LimitPolicyName, (account: string) => string>> = {
-		product: account => this.parts.leases.getLeaseOf(account),
+	readonly #allocatorNames: Readonly<Record<LimitPolicyName, (account: string) => string>> = {
+		product: account => this.dependencies.leases.getLeaseForAccount(account),
 		'static-split': () => '',
 		owner: account => this.#findOwner(account),
 	};
 
 	#getLimits(account: string): AccountLimits | undefined {
-		return this.parts.configuration.current.getAccount(account);
+		return this.dependencies.configuration.current.getAccount(account);
 	}
 
 	#createAllocator(now: number): ShareAllocator {
-		const options = this.parts.policy === 'owner'
+		const options = this.dependencies.policy === 'owner'
 			? {
 				...defaultAllocatorOptions, localRateShare: 0, coveredDemand: 0, holdMs: 0,
 			}
@@ -185,25 +185,25 @@
 		return new ShareAllocator(now, account => this.#getLimits(account), options);
 	}
 
-	#getChannel(name: string): AllocationChannel {
-		const {membership, clock} = this.parts;
-		const known = this.#channels.get(name);
+	#getAllocatorClient(name: string): AllocatorClient {
+		const {membership, clock} = this.dependencies;
+		const known = this.#allocatorClients.get(name);
 		if (known !== undefined) {
 			return known;
 		}
 
-		const channel = new AllocationChannel(membership.self.name, membership.self.incarnation, account => this.#getLimits(account), async report => this.#sendReport(report, name), clock);
-		this.#channels.set(name, channel);
+		const channel = new AllocatorClient(membership.self.name, membership.self.incarnation, account => this.#getLimits(account), async report => this.#sendReport(report, name), clock);
+		this.#allocatorClients.set(name, channel);
 		return channel;
 	}
 
 	/** Sends a report to the allocator of a channel, which is named for a lease or for the owner itself. */
 	async #sendReport(report: DemandReport, channel: string): Promise<ShareGrant | undefined> {
-		const {membership, leases, clock, metrics} = this.parts;
-		const keeper = leases.getKeeper(channel);
+		const {membership, leases, clock, metrics} = this.dependencies;
+		const keeper = leases.getParticipant(channel);
 		const target = keeper === undefined ? channel : keeper.findHolderVm(clock.getNow());
 		if (target === membership.self.name) {
-			return this.answerReport(report, channel);
+			return this.handleReport(report, channel);
 		}
 
 		const peer = target === undefined ? undefined : membership.getPeer(target);
@@ -220,41 +220,41 @@
 	}
 
 	#findOwner(account: string): string {
-		return rankVms(account, this.parts.membership.getLiveVms())[0] ?? this.parts.membership.self.name;
+		return rankVms(account, this.dependencies.membership.getLiveVms())[0] ?? this.dependencies.membership.self.name;
 	}
 
 	/** Returns the VM that ranks first for a lease. */
 	#findSuccessor(lease: string): string | undefined {
-		const {membership, configuration} = this.parts;
+		const {membership, configuration} = this.dependencies;
 		const voters = configuration.current.getVoterNames();
 		return rankVms(lease, membership.getLiveVms().filter(name => voters.includes(name)))[0];
 	}
 
 	/** Hands a lease over; where nobody takes it, it is released once every grant has expired. */
-	async #leaveLease(keeper: LeaseKeeper): Promise<void> {
+	async #handOverOrRelease(keeper: LeaseParticipant): Promise<void> {
 		const successor = this.#findSuccessor(keeper.lease);
 		const allocator = this.#allocators.get(keeper.lease);
-		if (!keeper.isHeld(this.parts.clock.getNow()) || allocator === undefined) {
+		if (!keeper.isHeld(this.dependencies.clock.getNow()) || allocator === undefined) {
 			return;
 		}
 
 		const outcome = successor === undefined ? 'declined' : await this.#handOver(keeper, successor, allocator);
-		keeper.abandon();
+		keeper.releaseLocally();
 		if (outcome !== 'taken') {
 			await new Promise(resolve => {
 				setTimeout(resolve, defaultAllocatorOptions.validMs);
 			});
-			await keeper.releaseEverywhere();
+			await keeper.releasePromises();
 		}
 	}
 
 	/** Stops granting and offers the books and the lease to a successor. */
-	async #handOver(keeper: LeaseKeeper, successor: string, allocator: ShareAllocator): Promise<HandOverOutcome> {
+	async #handOver(keeper: LeaseParticipant, successor: string, allocator: ShareAllocator): Promise<HandOverOutcome> {
 		this.#allocators.delete(keeper.lease);
-		const {clock, logger} = this.parts;
+		const {clock, logger} = this.dependencies;
 		const state = allocator.exportState(clock.getNow());
 		try {
-			const response = await this.parts.membership.getPeer(successor)!.client.handOver({
+			const response = await this.dependencies.membership.getPeer(successor)!.client.handOver({
 				...formatAllocatorState(state), lease: keeper.lease, holder: keeper.id, term: BigInt(keeper.term),
 			}, {timeoutMs: handOverTimeoutMs});
 			const outcome = response.taken ? 'taken' : 'declined';
@@ -267,43 +267,43 @@
 	}
 
 	#applyStaticSplit(): void {
-		const {membership, configuration, clock} = this.parts;
+		const {membership, configuration, clock} = this.dependencies;
 		const fraction = 1 / membership.getVms().length;
 		const accounts = configuration.current.getAccountNames().map(account => ({
 			account, rateFraction: fraction, burstFraction: fraction, tokens: 0, nextTokenMs: 0,
 		}));
 		const now = clock.getNow();
-		this.#getChannel('').admission.applyGrant({sequence: 1, validMs: foreverMs, accounts}, now, true, now);
-		this.#advance();
+		this.#getAllocatorClient('').admission.applyGrant({sequence: 1, validMs: staticShareValidityMs, accounts}, now, true, now);
+		this.#resolveDecidedRequests();
 	}
 
-	#describeDecision(decision: AdmissionDecision, account: string): Either<Refusal, void> {
+	#createResult(decision: AdmissionDecision, account: string): Either<Refusal, void> {
 		return decision.kind === 'admitted' ? Right(undefined) : Left(refusals.overLimit(account, decision.retryAfterMs));
 	}
 
-	#advance(): void {
-		for (const channel of this.#channels.values()) {
-			for (const decision of channel.admission.processWaiters(this.parts.clock.getNow())) {
-				const pending = this.#pending.get(decision.id);
-				this.#pending.delete(decision.id);
-				pending?.resolve(this.#describeDecision(decision, pending.account));
+	#resolveDecidedRequests(): void {
+		for (const channel of this.#allocatorClients.values()) {
+			for (const decision of channel.admission.processWaiters(this.dependencies.clock.getNow())) {
+				const pending = this.#pendingRequests.get(decision.id);
+				this.#pendingRequests.delete(decision.id);
+				pending?.resolve(this.#createResult(decision, pending.account));
 			}
 		}
 	}
 
-	#schedule(): void {
-		this.#timer ??= setTimeout(() => {
-			this.#timer = undefined;
-			this.#advance();
-			if (this.#pending.size > 0) {
-				for (const channel of this.#channels.values()) {
-					void channel.reportIfDue().then(() => {
-						this.#advance();
+	#scheduleSweep(): void {
+		this.#sweepTimer ??= setTimeout(() => {
+			this.#sweepTimer = undefined;
+			this.#resolveDecidedRequests();
+			if (this.#pendingRequests.size > 0) {
+				for (const channel of this.#allocatorClients.values()) {
+					void channel.sendReportIfDue().then(() => {
+						this.#resolveDecidedRequests();
 					});
 				}
 
-				this.#schedule();
+				this.#scheduleSweep();
 			}
-		}, waiterSweepMs);
+		}, sweepIntervalMs);
 	}
 }
--- a/packages/proxy/src/limits/allocation-channel.ts
+++ b/packages/proxy/src/limits/allocator-client.ts
@@ -7,7 +7,7 @@
 export type ReportSender = (report: DemandReport) => Promise<ShareGrant | undefined>;
 
 /** Admission against the shares of one allocator, with at most one report under way. */
-export class AllocationChannel {
+export class AllocatorClient {
 	readonly admission: AdmissionControl;
 	#isReporting = false;
 
@@ -16,7 +16,7 @@
 	}
 
 	/** Sends the report that is due, where none is under way. */
-	async reportIfDue(): Promise<void> {
+	async sendReportIfDue(): Promise<void> {
 		const sentAt = this.clock.getNow();
 		const due = this.#isReporting ? undefined : this.admission.getDueReportKind(sentAt);
 		if (due === undefined) {
@@ -34,7 +34,7 @@
 	}
 
 	/** Gives everything back. */
-	async sendFarewell(): Promise<void> {
+	async sendFinalReport(): Promise<void> {
 		this.#isReporting = true;
 		await this.sendReport(this.admission.createFinalReport(this.vm, this.incarnation, this.clock.getNow()));
 	}
--- a/packages/proxy/src/limits/lease-keeper.ts
+++ b/packages/proxy/src/limits/lease-participant.ts
@@ -2,25 +2,25 @@
 	LeaseCandidate, type LeaseRound, LeaseVoter, type PromiseAnswer, type PromiseRequest,
 } from '@chicorysaddle/decisions';
 import {type Clock, type Logger} from '../observability/index.js';
-import {type ConfigurationKeeper} from '../configuration/index.js';
+import {type ConfigurationReplica} from '../configuration/index.js';
 import {type Membership} from '../membership/index.js';
 import {rankVms} from './rank-vms.js';
 
 /** Duration of the lease, in milliseconds. */
 export const leaseMs = 1500;
 /** Time between two renewals, in milliseconds. */
-export const renewalMs = 600;
+export const renewalIntervalMs = 600;
 const staggerMs = 60;
 const promiseTimeoutMs = 300;
 
 /** Seeks and keeps one lease, and promises it to others. */
-export class LeaseKeeper {
+export class LeaseParticipant {
 	readonly #voter: LeaseVoter;
-	readonly #candidate = new LeaseCandidate({durationMs: leaseMs, renewalMs, staggerMs});
+	readonly #candidate = new LeaseCandidate({durationMs: leaseMs, renewalMs: renewalIntervalMs, staggerMs});
 	#onAcquired: (now: number) => void = () => undefined;
 	#predecessor = '';
 
-	constructor(readonly lease: string, private readonly membership: Membership, private readonly configuration: ConfigurationKeeper, private readonly clock: Clock, private readonly logger: Logger) {
+	constructor(readonly lease: string, private readonly membership: Membership, private readonly configuration: ConfigurationReplica, private readonly clock: Clock, private readonly logger: Logger) {
 		this.#voter = new LeaseVoter(clock.getNow(), leaseMs);
 	}
 
@@ -60,16 +60,16 @@
 	/** Returns the name of the VM that holds the lease, by the newest word known. */
 	findHolderVm(now: number): string | undefined {
 		const own = this.getHolder(now);
-		const words = this.membership.peers
+		const reports = this.membership.peers
 			.filter(peer => this.membership.isLive(peer, now))
 			.flatMap(peer => peer.leases.get(this.lease) ?? [])
 			.filter(({holder}) => holder !== '');
-		const [best] = [...own === '' ? [] : [{holder: own, term: this.term}], ...words].toSorted((a, b) => b.term - a.term);
-		return best?.holder.split('#', 1)[0];
+		const [newest] = [...own === '' ? [] : [{holder: own, term: this.term}], ...reports].toSorted((a, b) => b.term - a.term);
+		return newest?.holder.split('#', 1)[0];
 	}
 
 	/** Answers a candidate; one whose configuration is older may not know all voters. */
-	promise(request: PromiseRequest, configurationVersion: number): PromiseAnswer {
+	handlePromiseRequest(request: PromiseRequest, configurationVersion: number): PromiseAnswer {
 		const now = this.clock.getNow();
 		this.#candidate.observeTerm(request.term - 1);
 		return configurationVersion < this.configuration.version
@@ -79,12 +79,12 @@
 			: this.#voter.handlePromiseRequest(request, now);
 	}
 
-	release(holder: string): void {
+	releasePromise(holder: string): void {
 		this.#voter.release(holder);
 	}
 
 	/** Renews the lease, or seeks it when it is vacant. */
-	async advance(): Promise<void> {
+	async renewOrSeek(): Promise<void> {
 		const now = this.clock.getNow();
 		const voters = this.configuration.current.getVoterNames();
 		const isRetiring = this.membership.isDraining && !this.isHeld(now);
@@ -115,11 +115,11 @@
 	}
 
 	/** Gives the lease up; the caller makes sure that nothing granted under it is in use. */
-	abandon(): void {
+	releaseLocally(): void {
 		this.#candidate.releaseLease(this.clock.getNow());
 	}
 
-	async releaseEverywhere(): Promise<void> {
+	async releasePromises(): Promise<void> {
 		this.#voter.release(this.id);
 		await Promise.all(this.membership.peers.map(async peer => {
 			try {
@@ -133,7 +133,7 @@
 	async #runRound(round: LeaseRound, voters: readonly string[]): Promise<void> {
 		const wasHeld = this.isHeld(round.sentAt);
 		await Promise.all(voters.map(async voter => {
-			const isPromised = voter === this.membership.self.name ? this.#promiseToSelf(round) : await this.#askPromise(voter, round);
+			const isPromised = voter === this.membership.self.name ? this.#requestOwnPromise(round) : await this.#requestPromise(voter, round);
 			if (isPromised && this.#candidate.observePromise(round, voter, voters) && !wasHeld) {
 				const now = this.clock.getNow();
 				this.logger.info('lease gained', {lease: this.lease, term: round.term});
@@ -142,7 +142,7 @@
 		}));
 		// A lease that was held may have grants in use: it is left to run out.
 		if (!wasHeld && !this.isHeld(this.clock.getNow())) {
-			await this.releaseEverywhere();
+			await this.releasePromises();
 		}
 	}
 
@@ -152,11 +152,11 @@
 		};
 	}
 
-	#promiseToSelf(round: LeaseRound): boolean {
+	#requestOwnPromise(round: LeaseRound): boolean {
 		return this.#voter.handlePromiseRequest(this.#createRequest(round), this.clock.getNow()).promised;
 	}
 
-	async #askPromise(voter: string, round: LeaseRound): Promise<boolean> {
+	async #requestPromise(voter: string, round: LeaseRound): Promise<boolean> {
 		try {
 			const response = await this.membership.getPeer(voter)?.client.promiseLease({
 				lease: this.lease,
--- a/packages/proxy/src/limits/rank-vms.ts
+++ b/packages/proxy/src/limits/rank-vms.ts
@@ -2,12 +2,12 @@
 
 /**
  * Orders VMs by rendezvous hashing: each subject has an order of its own, which changes little when VMs come and go.
- * @param subject - What the VMs are ranked for.
+ * @param key - What the VMs are ranked for.
  * @param vms - Names of the VMs.
  */
-export function rankVms(subject: string, vms: readonly string[]): string[] {
+export function rankVms(key: string, vms: readonly string[]): string[] {
 	return vms
-		.map(vm => ({vm, score: createHash('sha256').update(`${vm}/${subject}`).digest('hex')}))
+		.map(vm => ({vm, score: createHash('sha256').update(`${vm}/${key}`).digest('hex')}))
 		.toSorted((a, b) => (a.score < b.score ? -1 : 1))
 		.map(({vm}) => vm);
 }
--- a/packages/proxy/src/membership/index.ts
+++ b/packages/proxy/src/membership/index.ts
@@ -1,4 +1,4 @@
 export * from './peer.js';
 export * from './membership.js';
-export * from './exchange.js';
-export * from './voter-keeper.js';
+export * from './peer-state-exchange.js';
+export * from './voter-reconciler.js';
--- a/packages/proxy/src/membership/membership.ts
+++ b/packages/proxy/src/membership/membership.ts
@@ -3,14 +3,14 @@
 import {Peer, type PeerOptions} from './peer.js';
 
 /** A peer that is neither listed nor heard is dropped after this time, in milliseconds. */
-const forgetMs = 10_000;
+const peerExpiryMs = 10_000;
 /** A peer counts as live when it was heard within this time, in milliseconds. */
-const liveMs = 3000;
+const livenessTimeoutMs = 3000;
 /** A peer is settled when it was heard for this time without a restart, in milliseconds. */
-const settledMs = 3000;
+const minStableMs = 3000;
 
 /** This VM as others see it. */
-export type OwnVm = {
+export type LocalVm = {
 	readonly name: string;
 	readonly incarnation: string;
 	readonly zone: string;
@@ -21,11 +21,11 @@
 /** The proxies that this one knows, from the platform's lagging list and from the peers themselves. */
 export class Membership {
 	readonly #peers = new Map<string, Peer>();
-	#listed = new Map<string, ListedVm>();
+	#listedVms = new Map<string, ListedVm>();
 	/** Whether this VM takes no new work. */
 	isDraining = false;
 
-	constructor(readonly self: OwnVm, private readonly vmList: VmList, private readonly peerOptions: PeerOptions, private readonly clock: Clock) {}
+	constructor(readonly self: LocalVm, private readonly vmList: VmList, private readonly peerOptions: PeerOptions, private readonly clock: Clock) {}
 
 	/** VM and incarnation of this process. */
 	get id(): string {
@@ -41,7 +41,7 @@
 	}
 
 	isListed(name: string): boolean {
-		return this.#listed.has(name);
+		return this.#listedVms.has(name);
 	}
 
 	/** Returns every VM that may be using endpoints, this one included. */
@@ -53,7 +53,7 @@
 	 * Returns how many VMs share the connections of an endpoint, infinitely many while this one is not listed,
 	 * since the others do not count it yet.
 	 */
-	countSharers(voters: readonly string[]): number {
+	countEndpointSharers(voters: readonly string[]): number {
 		return this.isListed(this.self.name) ? Math.max(this.getVms().length, voters.length) : Number.POSITIVE_INFINITY;
 	}
 
@@ -65,34 +65,34 @@
 	}
 
 	/** Says whether a peer has been heard for some time without a restart. */
-	isSettled(name: string): boolean {
+	isStable(name: string): boolean {
 		const peer = this.#peers.get(name);
 		const now = this.clock.getNow();
-		return peer !== undefined && this.isLive(peer, now) && now - peer.incarnationSince >= settledMs;
+		return peer !== undefined && this.isLive(peer, now) && now - peer.incarnationSince >= minStableMs;
 	}
 
 	isLive(peer: Peer, now: number): boolean {
-		return now - peer.heardAt <= liveMs;
+		return now - peer.answeredRequestSentAt <= livenessTimeoutMs;
 	}
 
 	/** Reads the platform's list. */
-	async refresh(): Promise<void> {
+	async refreshVmList(): Promise<void> {
 		const listed = await this.vmList.listVms();
 		listed.ifRight(vms => {
-			this.#applyList(vms);
+			this.#applyVmList(vms);
 		});
 	}
 
 	/** Takes in that a VM exists. */
-	observeVm(name: string, address: string, zone: string): Peer | undefined {
+	addOrUpdatePeer(name: string, address: string, zone: string): Peer | undefined {
 		if (name === this.self.name || address === '') {
 			return undefined;
 		}
 
 		const known = this.#peers.get(name);
 		// A listed address goes before the one that a peer gives of itself.
-		const peer = known !== undefined && (known.address === address || this.#listed.has(name)) ? known : this.#replacePeer(name, address, zone);
-		peer.seenAt = this.clock.getNow();
+		const peer = known !== undefined && (known.address === address || this.#listedVms.has(name)) ? known : this.#replacePeer(name, address, zone);
+		peer.lastSeenAt = this.clock.getNow();
 		return peer;
 	}
 
@@ -102,9 +102,9 @@
 		}
 	}
 
-	#applyList(vms: readonly ListedVm[]): void {
+	#applyVmList(vms: readonly ListedVm[]): void {
 		const now = this.clock.getNow();
-		this.#listed = new Map(vms.map(vm => [vm.name, vm]));
+		this.#listedVms = new Map(vms.map(vm => [vm.name, vm]));
 		for (const vm of vms) {
 			if (vm.name === this.self.name) {
 				continue;
@@ -113,11 +113,11 @@
 			const known = this.#peers.get(vm.name);
 			const peer = known?.address === vm.address ? known : this.#replacePeer(vm.name, vm.address, vm.zone);
 			peer.isLeaving = vm.state === 'leaving';
-			peer.seenAt = now;
+			peer.lastSeenAt = now;
 		}
 
 		for (const peer of this.peers) {
-			if (!this.#listed.has(peer.name) && now - Math.max(peer.seenAt, peer.heardAt) > forgetMs) {
+			if (!this.#listedVms.has(peer.name) && now - Math.max(peer.lastSeenAt, peer.answeredRequestSentAt) > peerExpiryMs) {
 				peer.close();
 				this.#peers.delete(peer.name);
 			}
--- a/packages/proxy/src/membership/exchange.ts
+++ b/packages/proxy/src/membership/peer-state-exchange.ts
@@ -2,19 +2,19 @@
 import {type MessageInitShape} from '@bufbuild/protobuf';
 import {type FreshnessTracker} from '@chicorysaddle/decisions';
 import {type Clock} from '../observability/index.js';
-import {type ConfigurationKeeper} from '../configuration/index.js';
+import {type ConfigurationReplica} from '../configuration/index.js';
 import {type GroupRegistry} from '../groups/index.js';
 import {type LeaseRegistry} from '../limits/index.js';
 import {type Membership} from './membership.js';
 import {type Peer} from './peer.js';
 
 /** Longest wait for an urgent answer, in milliseconds. */
-const urgentPauseMs = 150;
+const urgentPollIntervalMs = 150;
 
 /** What the exchange works on. */
-export type ExchangeParts = {
+export type PeerStateExchangeDependencies = {
 	readonly membership: Membership;
-	readonly configuration: ConfigurationKeeper;
+	readonly configuration: ConfigurationReplica;
 	readonly freshness: FreshnessTracker;
 	readonly groups: GroupRegistry;
 	readonly leases: LeaseRegistry;
@@ -23,37 +23,37 @@
 };
 
 /** Asks peers, again and again, what they know. */
-export class Exchange {
-	readonly #urgentAt = new Map<string, number>();
+export class PeerStateExchange {
+	readonly #urgentPollSentAt = new Map<string, number>();
 
-	constructor(private readonly parts: ExchangeParts) {}
+	constructor(private readonly dependencies: PeerStateExchangeDependencies) {}
 
 	/** Asks every peer. */
-	async askAll(): Promise<void> {
-		await Promise.all(this.parts.membership.peers.map(async peer => this.askPeer(peer)));
+	async pollPeers(): Promise<void> {
+		await Promise.all(this.dependencies.membership.peers.map(async peer => this.pollPeer(peer)));
 	}
 
 	/** Asks the other watchers of groups whose primary seems to fail. */
-	askAboutFailures(): void {
-		const now = this.parts.clock.getNow();
-		for (const group of this.parts.groups.getGroups()) {
+	pollWatchersOfSuspectedGroups(): void {
+		const now = this.dependencies.clock.getNow();
+		for (const group of this.dependencies.groups.getGroups()) {
 			if (!group.isWatched || !group.detector.isPrimarySuspected(now)) {
 				continue;
 			}
 
-			for (const name of this.parts.groups.getWatchers(group.state.name)) {
-				const peer = this.parts.membership.getPeer(name);
-				if (peer !== undefined && now - (this.#urgentAt.get(name) ?? Number.NEGATIVE_INFINITY) >= urgentPauseMs) {
-					this.#urgentAt.set(name, now);
-					void this.askPeer(peer);
+			for (const name of this.dependencies.groups.getWatchers(group.state.name)) {
+				const peer = this.dependencies.membership.getPeer(name);
+				if (peer !== undefined && now - (this.#urgentPollSentAt.get(name) ?? Number.NEGATIVE_INFINITY) >= urgentPollIntervalMs) {
+					this.#urgentPollSentAt.set(name, now);
+					void this.pollPeer(peer);
 				}
 			}
 		}
 	}
 
 	/** Asks one peer and takes in its answer, after catching up with its configuration. */
-	async askPeer(peer: Peer): Promise<void> {
-		const {membership, configuration, clock} = this.parts;
+	async pollPeer(peer: Peer): Promise<void> {
+		const {membership, configuration, clock} = this.dependencies;
 		const sentAt = clock.getNow();
 		try {
 			const response = await peer.client.exchange({
@@ -63,20 +63,20 @@
 				draining: membership.isDraining,
 				address: membership.self.address,
 				zone: membership.self.zone,
-			}, {timeoutMs: this.parts.timeoutMs});
-			await this.#observeResponse(peer, response, sentAt);
+			}, {timeoutMs: this.dependencies.timeoutMs});
+			await this.#applyResponse(peer, response, sentAt);
 		} catch {
 			// A peer that does not answer is simply not heard.
 		}
 	}
 
 	/** Answers a peer's question. */
-	answer(request: ExchangeRequest): MessageInitShape<typeof ExchangeResponseSchema> {
+	handleRequest(request: ExchangeRequest): MessageInitShape<typeof ExchangeResponseSchema> {
 		const {
 			membership, configuration, freshness, groups, leases, clock,
-		} = this.parts;
+		} = this.dependencies;
 		const now = clock.getNow();
-		const peer = membership.observeVm(request.vm, request.address, request.zone);
+		const peer = membership.addOrUpdatePeer(request.vm, request.address, request.zone);
 		if (peer !== undefined) {
 			peer.isDraining = request.draining;
 		}
@@ -94,12 +94,12 @@
 				primary: group.state.primaryName ?? '',
 				failingMs: Math.ceil(group.detector.getFailingMs(now)),
 			})),
-			leases: leases.describeHeldLeases(now).map(({lease, holder, term}) => ({lease, holder, term: BigInt(term)})),
+			leases: leases.getHeldLeases(now).map(({lease, holder, term}) => ({lease, holder, term: BigInt(term)})),
 		};
 	}
 
-	async #observeResponse(peer: Peer, response: ExchangeResponse, sentAt: number): Promise<void> {
-		const {configuration, freshness} = this.parts;
+	async #applyResponse(peer: Peer, response: ExchangeResponse, sentAt: number): Promise<void> {
+		const {configuration, freshness} = this.dependencies;
 		if (response.vm !== peer.name) {
 			return;
 		}
@@ -110,14 +110,14 @@
 			peer.incarnationSince = sentAt;
 		}
 
-		peer.heardAt = Math.max(peer.heardAt, sentAt);
+		peer.answeredRequestSentAt = Math.max(peer.answeredRequestSentAt, sentAt);
 		peer.configurationVersion = Number(response.configurationVersion);
 		peer.isSynchronized = response.synchronized;
 		peer.isDraining = response.draining;
 		peer.leases = new Map(response.leases.map(({lease, holder, term}) => [lease, {holder, term: Number(term)}]));
-		this.#observeGroups(response, sentAt);
+		this.#applyGroupReports(response, sentAt);
 		if (peer.configurationVersion > configuration.version) {
-			await configuration.pullFrom(peer);
+			await configuration.pullFromPeer(peer);
 		}
 
 		if (configuration.version < Number(response.configurationVersion)) {
@@ -133,9 +133,9 @@
 		}
 	}
 
-	#observeGroups(response: ExchangeResponse, sentAt: number): void {
+	#applyGroupReports(response: ExchangeResponse, sentAt: number): void {
 		for (const view of response.groups) {
-			const group = this.parts.groups.getGroup(view.group);
+			const group = this.dependencies.groups.getGroup(view.group);
 			if (group === undefined) {
 				continue;
 			}
--- a/packages/proxy/src/membership/peer.ts
+++ b/packages/proxy/src/membership/peer.ts
@@ -26,9 +26,9 @@
 	/** Who holds each lease, as it knows. */
 	leases: ReadonlyMap<string, {readonly holder: string; readonly term: number}> = new Map();
 	/** Time at which the last question that it answered was sent. */
-	heardAt = Number.NEGATIVE_INFINITY;
+	answeredRequestSentAt = Number.NEGATIVE_INFINITY;
 	/** Time at which it was last listed, or last asked this VM something. */
-	seenAt = Number.NEGATIVE_INFINITY;
+	lastSeenAt = Number.NEGATIVE_INFINITY;
 	readonly #sessions: Http2SessionManager;
 
 	constructor(readonly name: string, readonly address: string, readonly zone: string, options: PeerOptions) {
--- a/packages/proxy/src/requests/request-parts.ts
+++ b/packages/proxy/src/requests/request-parts.ts
@@ -1,8 +1,8 @@
 import {type RetryBudget, type ReadRouter} from '@chicorysaddle/decisions';
 import {type AccessGate} from '../access/index.js';
-import {type ConfigurationKeeper} from '../configuration/index.js';
+import {type ConfigurationReplica} from '../configuration/index.js';
 import {type GroupRegistry} from '../groups/index.js';
-import {type Limiter} from '../limits/index.js';
+import {type AccountLimiter} from '../limits/index.js';
 import {type Clock, type Metrics, type Tracing} from '../observability/index.js';
 import {type SessionTokenCodec} from '../sessions/index.js';
 import {type ClaimRegistry} from './claim-registry.js';
@@ -13,9 +13,9 @@
 /** Parts that serve requests. */
 export type RequestParts = {
 	readonly gate: AccessGate;
-	readonly configuration: ConfigurationKeeper;
+	readonly configuration: ConfigurationReplica;
 	readonly groups: GroupRegistry;
-	readonly limiter: Limiter;
+	readonly limiter: AccountLimiter;
 	readonly sessions: SessionTokenCodec;
 	readonly claims: ClaimRegistry;
 	readonly router: ReadRouter;
--- a/packages/proxy/src/services/operator-service.ts
+++ b/packages/proxy/src/services/operator-service.ts
@@ -7,9 +7,9 @@
 } from '@chicorysaddle/protocol';
 import {type FreshnessTracker} from '@chicorysaddle/decisions';
 import {getBearerToken, hashKey, isSameHash} from '../access/index.js';
-import {type ConfigurationKeeper, formatChange} from '../configuration/index.js';
+import {type ConfigurationReplica, formatChange} from '../configuration/index.js';
 import {type GroupRegistry} from '../groups/index.js';
-import {type LeaseRegistry, type Limiter} from '../limits/index.js';
+import {type LeaseRegistry, type AccountLimiter} from '../limits/index.js';
 import {type Membership, type Peer} from '../membership/index.js';
 import {type Clock, type Metrics} from '../observability/index.js';
 import {formatRefusal} from './connect-error.js';
@@ -17,11 +17,11 @@
 /** Parts of the operator service. */
 export type OperatorServiceParts = {
 	readonly membership: Membership;
-	readonly configuration: ConfigurationKeeper;
+	readonly configuration: ConfigurationReplica;
 	readonly freshness: FreshnessTracker;
 	readonly groups: GroupRegistry;
 	readonly leases: LeaseRegistry;
-	readonly limiter: Limiter;
+	readonly limiter: AccountLimiter;
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 };
@@ -55,7 +55,7 @@
 }
 
 async function applyChange({configuration}: OperatorServiceParts, request: ApplyChangeRequest): Promise<MessageInitShape<typeof ApplyChangeResponseSchema>> {
-	const result = await configuration.applyRequest({
+	const result = await configuration.applyChangeRequest({
 		expectedVersion: Number(request.expectedVersion),
 		author: request.author,
 		summary: request.summary,
@@ -107,7 +107,7 @@
 		state: membership.isDraining ? 'draining' : 'live',
 		configurationVersion: BigInt(configuration.version),
 		freshnessAgeMs: Number.isFinite(ageMs) ? ageMs : -1,
-		leaseHolder: leases.keepers.map(keeper => keeper.findHolderVm(now) ?? 'nobody').join(', '),
+		leaseHolder: leases.participants.map(keeper => keeper.findHolderVm(now) ?? 'nobody').join(', '),
 		vms: membership.peers.map(peer => ({
 			name: peer.name, zone: peer.zone, state: describePeerState(peer, membership.isLive(peer, now)), configurationVersion: BigInt(peer.configurationVersion),
 		})),
--- a/packages/proxy/src/services/peer-service.ts
+++ b/packages/proxy/src/services/peer-service.ts
@@ -5,22 +5,22 @@
 import {type ForwardRequest, type ForwardResponseSchema, PeerService} from '@chicorysaddle/protocol';
 import {type FreshnessTracker} from '@chicorysaddle/decisions';
 import {hashKey, isSameHash} from '../access/index.js';
-import {type ConfigurationKeeper, parseChange} from '../configuration/index.js';
+import {type ConfigurationReplica, parseChange} from '../configuration/index.js';
 import {
-	formatGrant, type LeaseRegistry, type Limiter, parseAllocatorState, parseReport,
+	formatGrant, type LeaseRegistry, type AccountLimiter, parseAllocatorState, parseReport,
 } from '../limits/index.js';
-import {type Exchange, type Membership, peerSecretHeader} from '../membership/index.js';
+import {type PeerStateExchange, type Membership, peerSecretHeader} from '../membership/index.js';
 import {type Clock, type Tracing} from '../observability/index.js';
 import {type CallerHandlers, type TransactionMethod} from './caller-handlers.js';
 
 /** Parts of the peer service. */
 export type PeerServiceParts = {
 	readonly membership: Membership;
-	readonly exchange: Exchange;
-	readonly configuration: ConfigurationKeeper;
+	readonly exchange: PeerStateExchange;
+	readonly configuration: ConfigurationReplica;
 	readonly freshness: FreshnessTracker;
 	readonly leases: LeaseRegistry;
-	readonly limiter: Limiter;
+	readonly limiter: AccountLimiter;
 	readonly handlers: CallerHandlers;
 	readonly clock: Clock;
 	readonly tracing: Tracing;
@@ -47,28 +47,28 @@
 	} = parts;
 	return router => {
 		router.service(PeerService, {
-			exchange: request => exchange.answer(request),
+			exchange: request => exchange.handleRequest(request),
 			pullConfiguration: request => configuration.createPullResponse(Number(request.fromVersion)),
 			pushConfiguration(request) {
 				configuration.applyChanges(request.changes.map(change => parseChange(change)));
 				return {version: BigInt(configuration.version), synchronized: freshness.isSynchronized, vm: membership.self.name};
 			},
 			promiseLease(request) {
-				const keeper = leases.getKeeper(request.lease);
+				const keeper = leases.getParticipant(request.lease);
 				if (keeper === undefined) {
 					return {promised: false};
 				}
 
-				const answer = keeper.promise({
+				const answer = keeper.handlePromiseRequest({
 					holder: request.holder, term: Number(request.term), durationMs: request.durationMs, predecessor: request.predecessor,
 				}, Number(request.configurationVersion));
 				return {...answer, term: BigInt(answer.term), remainingMs: Math.ceil(answer.remainingMs)};
 			},
 			releaseLease(request) {
-				leases.getKeeper(request.lease)?.release(request.holder);
+				leases.getParticipant(request.lease)?.releasePromise(request.holder);
 				return {};
 			},
-			reportDemand: request => formatGrant(limiter.answerReport(parseReport(request), request.lease)),
+			reportDemand: request => formatGrant(limiter.handleReport(parseReport(request), request.lease)),
 			handOver: async request => ({taken: await limiter.takeOver(request.lease, request.holder, Number(request.term), parseAllocatorState(request))}),
 			forward: async request => runForwarded(parts, request),
 		});
--- a/packages/proxy/src/wiring/container.ts
+++ b/packages/proxy/src/wiring/container.ts
@@ -4,11 +4,11 @@
 import {FreshnessTracker, ReadRouter, RetryBudget} from '@chicorysaddle/decisions';
 import {ConfigurationLog, PlatformClient} from '@chicorysaddle/store';
 import {AccessGate} from '../access/index.js';
-import {ConfigurationKeeper} from '../configuration/index.js';
+import {ConfigurationReplica} from '../configuration/index.js';
 import {HttpEndpointConnector} from '../endpoints/index.js';
 import {GroupRegistry, Promoter} from '../groups/index.js';
-import {LeaseRegistry, Limiter} from '../limits/index.js';
-import {Exchange, Membership, VoterKeeper} from '../membership/index.js';
+import {LeaseRegistry, AccountLimiter} from '../limits/index.js';
+import {PeerStateExchange, Membership, VoterReconciler} from '../membership/index.js';
 import {
 	type Clock, Logger, Metrics, systemClock, Tracing,
 } from '../observability/index.js';
@@ -57,16 +57,16 @@
 	container.bind(Membership).toDynamicValue(context => new Membership({
 		name: settings.vm.name, zone: settings.vm.zone, address: peerAddress, incarnation: randomBytes(incarnationBytes).toString('hex'),
 	}, context.get(PlatformClient), {secret: settings.peers.secret, sourceAddress}, context.get(partNames.clock))).inSingletonScope();
-	container.bind(ConfigurationKeeper).toDynamicValue(context => new ConfigurationKeeper({
+	container.bind(ConfigurationReplica).toDynamicValue(context => new ConfigurationReplica({
 		log: new ConfigurationLog(context.get(PlatformClient), context.get(PlatformClient)),
 		freshness: context.get(FreshnessTracker),
 		membership: context.get(Membership),
 		clock: context.get(partNames.clock),
 		logger: context.get(Logger),
 	})).inSingletonScope();
-	container.bind(VoterKeeper).toDynamicValue(context => new VoterKeeper(context.get(ConfigurationKeeper), context.get(Membership), context.get(partNames.clock))).inSingletonScope();
+	container.bind(VoterReconciler).toDynamicValue(context => new VoterReconciler(context.get(ConfigurationReplica), context.get(Membership), context.get(partNames.clock))).inSingletonScope();
 	container.bind(AccessGate).toDynamicValue(context => {
-		const configuration = context.get(ConfigurationKeeper).current;
+		const configuration = context.get(ConfigurationReplica).current;
 		const freshness = context.get(FreshnessTracker);
 		const clock = context.get(partNames.clock);
 		return new AccessGate({
@@ -78,10 +78,10 @@
 }
 
 function bindLimits(container: Container, settings: Settings): void {
-	container.bind(LeaseRegistry).toDynamicValue(context => new LeaseRegistry(context.get(Membership), context.get(ConfigurationKeeper), context.get(partNames.clock), context.get(Logger))).inSingletonScope();
-	container.bind(Limiter).toDynamicValue(context => new Limiter({
+	container.bind(LeaseRegistry).toDynamicValue(context => new LeaseRegistry(context.get(Membership), context.get(ConfigurationReplica), context.get(partNames.clock), context.get(Logger))).inSingletonScope();
+	container.bind(AccountLimiter).toDynamicValue(context => new AccountLimiter({
 		membership: context.get(Membership),
-		configuration: context.get(ConfigurationKeeper),
+		configuration: context.get(ConfigurationReplica),
 		leases: context.get(LeaseRegistry),
 		clock: context.get(partNames.clock),
 		metrics: context.get(Metrics),
@@ -99,9 +99,9 @@
 		context.get(partNames.clock),
 		settings.policy.queue,
 	)).inSingletonScope();
-	container.bind(Exchange).toDynamicValue(context => new Exchange({
+	container.bind(PeerStateExchange).toDynamicValue(context => new PeerStateExchange({
 		membership: context.get(Membership),
-		configuration: context.get(ConfigurationKeeper),
+		configuration: context.get(ConfigurationReplica),
 		freshness: context.get(FreshnessTracker),
 		groups: context.get(GroupRegistry),
 		leases: context.get(LeaseRegistry),
@@ -122,12 +122,12 @@
 
 function bindRequests(container: Container, settings: Settings): void {
 	container.bind(partNames.requestParts).toDynamicValue(context => {
-		const configuration = context.get(ConfigurationKeeper);
+		const configuration = context.get(ConfigurationReplica);
 		return {
 			gate: context.get(AccessGate),
 			configuration,
 			groups: context.get(GroupRegistry),
-			limiter: context.get(Limiter),
+			limiter: context.get(AccountLimiter),
 			sessions: new SessionTokenCodec(() => configuration.current.getSecret(sessionSecretName)),
 			claims: new ClaimRegistry(context.get(PlatformClient)),
 			router: new ReadRouter(settings.vm.zone, settings.policy.reads),
--- a/packages/proxy/src/wiring/proxy.ts
+++ b/packages/proxy/src/wiring/proxy.ts
@@ -3,10 +3,10 @@
 import {FreshnessTracker} from '@chicorysaddle/decisions';
 import {PlatformClient} from '@chicorysaddle/store';
 import {AccessGate} from '../access/index.js';
-import {ConfigurationKeeper} from '../configuration/index.js';
+import {ConfigurationReplica} from '../configuration/index.js';
 import {GroupRegistry} from '../groups/index.js';
-import {LeaseRegistry, Limiter} from '../limits/index.js';
-import {Exchange, Membership, VoterKeeper} from '../membership/index.js';
+import {LeaseRegistry, AccountLimiter} from '../limits/index.js';
+import {PeerStateExchange, Membership, VoterReconciler} from '../membership/index.js';
 import {
 	Logger, Metrics, RepeatedTask, Tracing,
 } from '../observability/index.js';
@@ -65,8 +65,8 @@
 
 	/** Whether new requests are welcome. */
 	isReady(): boolean {
-		const hasAllocator = this.settings.policy.limits !== 'product' || this.#get(LeaseRegistry).isHeldEverywhere(this.#container.get(partNames.clock).getNow());
-		return !this.#get(Membership).isDraining && hasAllocator && this.#get(AccessGate).checkIdentity({account: '', keyHash: ''}).isRight() && this.#get(ConfigurationKeeper).version > 0 && this.#get(GroupRegistry).isExamined;
+		const hasAllocator = this.settings.policy.limits !== 'product' || this.#get(LeaseRegistry).isEveryLeaseHeld(this.#container.get(partNames.clock).getNow());
+		return !this.#get(Membership).isDraining && hasAllocator && this.#get(AccessGate).checkIdentity({account: '', keyHash: ''}).isRight() && this.#get(ConfigurationReplica).version > 0 && this.#get(GroupRegistry).isExamined;
 	}
 
 	/** Becomes unready, finishes what is in flight, gives shares back and closes. */
@@ -78,7 +78,7 @@
 		await wait(timeouts.drain_grace_ms);
 		await this.#finishTransactions(timeouts.drain_limit_ms);
 		await this.#listeners.closeCallers(timeouts.drain_limit_ms);
-		await this.#get(Limiter).leave();
+		await this.#get(AccountLimiter).returnSharesAndLeases();
 		logger.info('drain ended');
 		await this.close();
 	}
@@ -119,12 +119,12 @@
 		const {timeouts, requests, peers, operator} = this.settings;
 		const parts = {
 			membership: this.#get(Membership),
-			exchange: this.#get(Exchange),
-			configuration: this.#get(ConfigurationKeeper),
+			exchange: this.#get(PeerStateExchange),
+			configuration: this.#get(ConfigurationReplica),
 			freshness: this.#get(FreshnessTracker),
 			groups: this.#get(GroupRegistry),
 			leases: this.#get(LeaseRegistry),
-			limiter: this.#get(Limiter),
+			limiter: this.#get(AccountLimiter),
 			handlers: this.#get(CallerHandlers),
 			metrics: this.#get(Metrics),
 			tracing: this.#get(Tracing),
@@ -153,14 +153,14 @@
 	}
 
 	#startTasks(): void {
-		const configuration = this.#get(ConfigurationKeeper);
+		const configuration = this.#get(ConfigurationReplica);
 		const membership = this.#get(Membership);
 		const groups = this.#get(GroupRegistry);
-		const exchange = this.#get(Exchange);
+		const exchange = this.#get(PeerStateExchange);
 		const gate = this.#get(AccessGate);
 		const registry = this.#get(TransactionRegistry);
 		const configureGroups = () => {
-			groups.configure(configuration.current, membership.getVms(), membership.countSharers(configuration.current.getVoterNames()));
+			groups.configure(configuration.current, membership.getVms(), membership.countEndpointSharers(configuration.current.getVoterNames()));
 		};
 
 		const sweep = () => {
@@ -181,21 +181,21 @@
 		});
 		this.#repeat('VM list', pauses.vmList, async () => {
 			const known = membership.peers;
-			await membership.refresh();
+			await membership.refreshVmList();
 			configureGroups();
-			await Promise.all(membership.peers.filter(peer => !known.includes(peer)).map(async peer => exchange.askPeer(peer)));
+			await Promise.all(membership.peers.filter(peer => !known.includes(peer)).map(async peer => exchange.pollPeer(peer)));
 		});
-		this.#repeat('exchange', this.settings.peers.exchange_ms, async () => exchange.askAll());
-		this.#repeat('balance', pauses.balance, async () => this.#get(Limiter).balanceLeases());
+		this.#repeat('exchange', this.settings.peers.exchange_ms, async () => exchange.pollPeers());
+		this.#repeat('balance', pauses.balance, async () => this.#get(AccountLimiter).rebalanceLeases());
 		// One timer for whatever is due many times a second: each wake-up of an idle process costs more than the work.
 		this.#repeat('tick', pauses.tick, () => {
-			void this.#get(LeaseRegistry).advance();
-			void this.#get(Limiter).reportDemand();
+			void this.#get(LeaseRegistry).renewOrSeek();
+			void this.#get(AccountLimiter).reportDemand();
 			groups.advance();
-			exchange.askAboutFailures();
+			exchange.pollWatchersOfSuspectedGroups();
 		});
 		this.#repeat('sweep', pauses.sweep, sweep);
-		this.#repeat('voters', pauses.voters, async () => this.#get(VoterKeeper).advance());
+		this.#repeat('voters', pauses.voters, async () => this.#get(VoterReconciler).reconcile());
 	}
 
 	#repeat(name: string, pauseMs: number, task: () => Promise<void> | void): void {
