--- a/packages/proxy/src/groups/dispatcher.ts
+++ b/packages/proxy/src/groups/dispatcher.ts
@@ -7,7 +7,7 @@
 import {type EndpointConnectionPort, type EndpointPool} from '../endpoints/index.js';
 
 /** A connection to an instance, held for one request. */
-export type Slot = {
+export type Placement = {
 	readonly instance: InstanceView;
 	readonly connection: EndpointConnectionPort;
 	/** Time that the instance may take to reach the wanted position, in milliseconds. */
@@ -17,42 +17,42 @@
 };
 
 /** What a request asks of the dispatcher. */
-export type SlotRequest = {
+export type PlacementRequest = {
 	readonly account: string;
 	readonly priority: Priority;
 	readonly weight: number;
 	readonly deadline: number;
 	/** Chooses an instance by what is known now. */
-	choose(now: number): ReadChoice;
+	chooseInstance(now: number): ReadChoice;
 };
 
-type Waiting = {
-	readonly request: SlotRequest;
-	readonly resolve: (slot: Either<Refusal, Slot>) => void;
-	wasPlaceable: boolean;
+type Waiter = {
+	readonly request: PlacementRequest;
+	readonly resolve: (slot: Either<Refusal, Placement>) => void;
+	hadUsableInstance: boolean;
 };
 
-const sweepMs = 20;
+const sweepIntervalMs = 20;
 
 /** Hands the connections of one group to the requests that wait for them. */
 export class Dispatcher {
-	readonly #queue: FairQueue<Waiting>;
-	#timer: NodeJS.Timeout | undefined;
+	readonly #queue: FairQueue<Waiter>;
+	#sweepTimer: NodeJS.Timeout | undefined;
 
 	constructor(private readonly group: GroupState, private readonly getPool: (instance: string) => EndpointPool | undefined, private readonly clock: Clock, policy: QueuePolicy) {
 		this.#queue = new FairQueue(policy);
 	}
 
 	/** Number of requests that wait. */
-	get waiting(): number {
+	get waitingCount(): number {
 		return this.#queue.size;
 	}
 
 	/** Waits for a connection to an instance that can serve a request. */
-	async acquireSlot(request: SlotRequest): Promise<Either<Refusal, Slot>> {
+	async acquirePlacement(request: PlacementRequest): Promise<Either<Refusal, Placement>> {
 		const now = this.clock.getNow();
 		if (this.#queue.size === 0) {
-			const slot = this.#place(request, now);
+			const slot = this.#tryPlace(request, now);
 			if (slot !== undefined) {
 				return Right(slot);
 			}
@@ -69,22 +69,22 @@
 				priority: request.priority,
 				weight: request.weight,
 				deadline: request.deadline,
-				value: {request, resolve, wasPlaceable: true},
+				value: {request, resolve, hadUsableInstance: true},
 			});
-			this.advance();
+			this.placeWaiting();
 		});
 	}
 
 	/** Places what can be placed and refuses what has run out of time. */
-	advance(): void {
+	placeWaiting(): void {
 		const now = this.clock.getNow();
 		for (const entry of this.#queue.removeExpired(now)) {
-			entry.value.resolve(Left(entry.value.wasPlaceable ? refusals.deadlineNotRun() : refusals.noPrimary(this.group.name)));
+			entry.value.resolve(Left(entry.value.hadUsableInstance ? refusals.deadlineNotRun() : refusals.noPrimary(this.group.name)));
 		}
 
-		let slot: Slot | undefined;
-		const canPlace = (waiting: Waiting) => {
-			slot = this.#place(waiting.request, now, waiting);
+		let slot: Placement | undefined;
+		const canPlace = (waiting: Waiter) => {
+			slot = this.#tryPlace(waiting.request, now, waiting);
 			return slot !== undefined;
 		};
 
@@ -97,22 +97,22 @@
 			entry.value.resolve(Right(slot!));
 		}
 
-		this.#schedule();
+		this.#scheduleSweep();
 	}
 
-	#schedule(): void {
-		if (this.#queue.size > 0 && this.#timer === undefined) {
-			this.#timer = setTimeout(() => {
-				this.#timer = undefined;
-				this.advance();
-			}, sweepMs);
+	#scheduleSweep(): void {
+		if (this.#queue.size > 0 && this.#sweepTimer === undefined) {
+			this.#sweepTimer = setTimeout(() => {
+				this.#sweepTimer = undefined;
+				this.placeWaiting();
+			}, sweepIntervalMs);
 		}
 	}
 
-	#place(request: SlotRequest, now: number, waiting?: Waiting): Slot | undefined {
-		const choice = request.choose(now);
+	#tryPlace(request: PlacementRequest, now: number, waiting?: Waiter): Placement | undefined {
+		const choice = request.chooseInstance(now);
 		if (waiting !== undefined) {
-			waiting.wasPlaceable = choice.kind !== 'none';
+			waiting.hadUsableInstance = choice.kind !== 'none';
 		}
 
 		if (choice.kind !== 'send') {
@@ -121,23 +121,23 @@
 
 		const pool = this.getPool(choice.instance.name);
 		const connection = pool?.takeConnection();
-		return pool === undefined || connection === undefined ? undefined : this.#createSlot(choice.instance, pool, connection, choice.waitMs);
+		return pool === undefined || connection === undefined ? undefined : this.#createPlacement(choice.instance, pool, connection, choice.waitMs);
 	}
 
-	#createSlot(instance: InstanceView, pool: EndpointPool, connection: EndpointConnectionPort, waitMs: number): Slot {
+	#createPlacement(instance: InstanceView, pool: EndpointPool, connection: EndpointConnectionPort, waitMs: number): Placement {
 		instance.inUse += 1;
 		return {
 			instance, connection, waitMs,
 			release: isClean => {
 				instance.inUse -= 1;
 				pool.returnConnection(connection, isClean);
-				this.advance();
+				this.placeWaiting();
 			},
 		};
 	}
 
 	/** Expected wait: the own account's requests first in its turn, or the whole queue, whichever is less. */
-	#estimateWaitMs(request: SlotRequest): number {
+	#estimateWaitMs(request: PlacementRequest): number {
 		const usable = this.group.instances.filter(instance => instance.isReachable);
 		const room = usable.reduce((sum, instance) => sum + instance.limit, 0);
 		if (room === 0 || this.#queue.size === 0) {
--- a/packages/proxy/src/groups/group-registry.ts
+++ b/packages/proxy/src/groups/group-registry.ts
@@ -7,35 +7,35 @@
 import {type Promoter} from './promoter.js';
 
 /** Number of VMs that watch one group closely. */
-export const watchersPerGroup = 3;
+export const monitorsPerGroup = 3;
 
 /** Time between the attempts of watchers of neighbouring ranks, in milliseconds. */
-const rankStaggerMs = 200;
+const promotionStaggerMs = 200;
 
 /** A VM that can watch groups. */
-export type Watcher = {readonly name: string; readonly zone: string};
+export type MonitorCandidate = {readonly name: string; readonly zone: string};
 
 /**
  * Chooses the VMs that watch a group: by rendezvous hashing, from different availability zones first.
  * @param group - Name of the group.
  * @param vms - VMs to choose from.
  */
-export function chooseWatchers(group: string, vms: readonly Watcher[]): string[] {
+export function chooseMonitors(group: string, vms: readonly MonitorCandidate[]): string[] {
 	const ranked = vms
 		.map(vm => ({vm, score: createHash('sha256').update(`${vm.name}/${group}`).digest('hex')}))
 		.toSorted((a, b) => (a.score < b.score ? -1 : 1))
 		.map(({vm}) => vm);
 	const firstOfZone = ranked.filter((vm, index) => ranked.findIndex(other => other.zone === vm.zone) === index);
 	const others = ranked.filter(vm => !firstOfZone.includes(vm));
-	return [...firstOfZone, ...others].slice(0, watchersPerGroup).map(vm => vm.name);
+	return [...firstOfZone, ...others].slice(0, monitorsPerGroup).map(vm => vm.name);
 }
 
 /** Every database group of the configuration. */
 export class GroupRegistry {
 	readonly #groups = new Map<string, Group>();
-	readonly #watchers = new Map<string, string[]>();
-	readonly #dueSince = new Map<string, number>();
-	readonly #promoting = new Set<string>();
+	readonly #monitors = new Map<string, string[]>();
+	readonly #promotionDueSince = new Map<string, number>();
+	readonly #promotingGroups = new Set<string>();
 
 	constructor(private readonly vm: string, private readonly connector: EndpointConnector, private readonly promoter: Promoter, private readonly clock: Clock, private readonly queuePolicy: QueuePolicy) {}
 
@@ -48,29 +48,29 @@
 	}
 
 	/** Returns the VMs that watch a group. */
-	getWatchers(group: string): readonly string[] {
-		return this.#watchers.get(group) ?? [];
+	getMonitors(group: string): readonly string[] {
+		return this.#monitors.get(group) ?? [];
 	}
 
 	/** Whether every instance has been probed. */
-	get isExamined(): boolean {
-		return this.getGroups().every(group => group.isExamined);
+	get areAllInstancesProbed(): boolean {
+		return this.getGroups().every(group => group.areAllInstancesProbed);
 	}
 
 	/**
 	 * Brings the groups in line with the configuration and the VMs known.
 	 * @param configuration - Configuration in force.
 	 * @param vms - VMs that can watch groups.
-	 * @param sharers - Number of VMs that share the connections of an instance.
+	 * @param vmCount - Number of VMs that share the connections of an instance.
 	 */
-	configure(configuration: Configuration, vms: readonly Watcher[], sharers: number): void {
+	applyConfiguration(configuration: Configuration, vms: readonly MonitorCandidate[], vmCount: number): void {
 		for (const name of configuration.getGroupNames()) {
 			const group = this.#groups.get(name) ?? new Group(name, this.connector, this.clock, this.queuePolicy);
 			this.#groups.set(name, group);
-			group.configure(configuration.getEndpoints(name), sharers);
-			const watchers = chooseWatchers(name, vms);
-			this.#watchers.set(name, watchers);
-			group.isWatched = watchers.includes(this.vm);
+			group.setEndpoints(configuration.getEndpoints(name), vmCount);
+			const watchers = chooseMonitors(name, vms);
+			this.#monitors.set(name, watchers);
+			group.isMonitored = watchers.includes(this.vm);
 		}
 
 		for (const [name, group] of this.#groups) {
@@ -82,9 +82,9 @@
 	}
 
 	/** Probes what is due and promotes where the watchers agree. */
-	advance(): void {
+	checkGroups(): void {
 		for (const group of this.#groups.values()) {
-			group.advance();
+			group.checkInstances();
 			void this.#promoteIfDue(group);
 		}
 	}
@@ -98,21 +98,21 @@
 	async #promoteIfDue(group: Group): Promise<void> {
 		const {name} = group.state;
 		const now = this.clock.getNow();
-		const watchers = this.getWatchers(name);
-		if (!group.isWatched || this.#promoting.has(name) || !group.detector.isPromotionDue(this.vm, watchers, now)) {
-			this.#dueSince.delete(name);
+		const watchers = this.getMonitors(name);
+		if (!group.isMonitored || this.#promotingGroups.has(name) || !group.detector.isPromotionDue(this.vm, watchers, now)) {
+			this.#promotionDueSince.delete(name);
 			return;
 		}
 
-		const dueSince = this.#dueSince.get(name) ?? now;
-		this.#dueSince.set(name, dueSince);
-		if (now < dueSince + (watchers.indexOf(this.vm) * rankStaggerMs)) {
+		const dueSince = this.#promotionDueSince.get(name) ?? now;
+		this.#promotionDueSince.set(name, dueSince);
+		if (now < dueSince + (watchers.indexOf(this.vm) * promotionStaggerMs)) {
 			return;
 		}
 
-		this.#promoting.add(name);
+		this.#promotingGroups.add(name);
 		group.detector.observePromotionStarted(now);
-		await this.promoter.promote(group);
-		this.#promoting.delete(name);
+		await this.promoter.promoteGroup(group);
+		this.#promotingGroups.delete(name);
 	}
 }
--- a/packages/proxy/src/groups/group.ts
+++ b/packages/proxy/src/groups/group.ts
@@ -14,15 +14,15 @@
 const probeTimeoutMs = 500;
 
 /** Pauses between probes of an instance, in milliseconds. */
-const probePauses = {
+const probeIntervalsMs = {
 	/** Of the primary, by a VM that watches the group. */
-	watchedPrimary: 300,
+	monitoredPrimary: 300,
 	/** Of a replica, by a VM that watches the group. */
-	watchedReplica: 1000,
+	monitoredReplica: 1000,
 	/** By any other VM. */
-	unwatched: 2000,
+	unmonitored: 2000,
 	/** Of an instance that does not answer, or whose group is in doubt. */
-	inDoubt: 300,
+	suspected: 300,
 } as const;
 
 /** One database group as this proxy sees and uses it. */
@@ -32,11 +32,11 @@
 	readonly confirmer: WriteConfirmer;
 	readonly dispatcher: Dispatcher;
 	/** Whether this VM is one of those that watch the group closely. */
-	isWatched = false;
+	isMonitored = false;
 	readonly #pools = new Map<string, EndpointPool>();
-	readonly #lastHeard = new Map<string, number>();
-	readonly #lastProbed = new Map<string, number>();
-	readonly #examined = new Set<string>();
+	readonly #lastResponseAt = new Map<string, number>();
+	readonly #lastProbeAt = new Map<string, number>();
+	readonly #probedInstances = new Set<string>();
 
 	constructor(name: string, private readonly connector: EndpointConnector, private readonly clock: Clock, queuePolicy: QueuePolicy) {
 		this.state = new GroupState(name);
@@ -52,51 +52,51 @@
 	/**
 	 * Brings the instances in line with the configuration.
 	 * @param endpoints - Endpoints of the group.
-	 * @param vms - Number of VMs that share their connections.
+	 * @param vmCount - Number of VMs that share their connections.
 	 */
-	configure(endpoints: readonly NamedEndpoint[], vms: number): void {
+	setEndpoints(endpoints: readonly NamedEndpoint[], vmCount: number): void {
 		for (const name of [...this.#pools.keys()].filter(known => !endpoints.some(endpoint => endpoint.name === known))) {
 			this.#removeInstance(name);
 		}
 
 		for (const endpoint of endpoints) {
-			this.#configureInstance(endpoint, vms);
+			this.#addOrUpdateInstance(endpoint, vmCount);
 		}
 
-		this.dispatcher.advance();
+		this.dispatcher.placeWaiting();
 	}
 
 	/** Whether every instance has been probed. */
-	get isExamined(): boolean {
-		return this.state.instances.every(instance => this.#examined.has(instance.name));
+	get areAllInstancesProbed(): boolean {
+		return this.state.instances.every(instance => this.#probedInstances.has(instance.name));
 	}
 
 	/** Takes in which instance leads which term. */
 	observePrimary(term: number, name: string): void {
 		if (this.state.observePrimary(term, name)) {
-			this.#observeChange();
+			this.#handlePrimaryChange();
 		}
 	}
 
 	/** Takes in that an instance has answered a request. */
-	observeAnswer(instance: InstanceView): void {
+	observeResponse(instance: InstanceView): void {
 		instance.observeReachable();
-		this.#lastHeard.set(instance.name, this.clock.getNow());
+		this.#lastResponseAt.set(instance.name, this.clock.getNow());
 	}
 
 	/** Takes in that an instance could not be reached. */
 	observeFailure(instance: InstanceView): void {
-		this.#lastHeard.delete(instance.name);
-		this.#lastProbed.delete(instance.name);
+		this.#lastResponseAt.delete(instance.name);
+		this.#lastProbeAt.delete(instance.name);
 		void this.probeInstance(instance);
 	}
 
 	/** Probes the instances that are due, and re-evaluates the primary. */
-	advance(): void {
+	checkInstances(): void {
 		const now = this.clock.getNow();
 		for (const instance of this.state.instances) {
-			const heardAt = Math.max(this.#lastHeard.get(instance.name) ?? Number.NEGATIVE_INFINITY, this.#lastProbed.get(instance.name) ?? Number.NEGATIVE_INFINITY);
-			if (now - heardAt >= this.#getProbePauseMs(instance, now)) {
+			const heardAt = Math.max(this.#lastResponseAt.get(instance.name) ?? Number.NEGATIVE_INFINITY, this.#lastProbeAt.get(instance.name) ?? Number.NEGATIVE_INFINITY);
+			if (now - heardAt >= this.#getProbeIntervalMs(instance, now)) {
 				void this.probeInstance(instance);
 			}
 		}
@@ -108,20 +108,20 @@
 	async probeInstance(instance: InstanceView): Promise<void> {
 		const control = this.#pools.get(instance.name)?.control;
 		const sentAt = this.clock.getNow();
-		this.#lastProbed.set(instance.name, sentAt);
+		this.#lastProbeAt.set(instance.name, sentAt);
 		const status = await control?.probe(create(ProbeRequestSchema), {timeoutMs: probeTimeoutMs});
-		this.#examined.add(instance.name);
+		this.#probedInstances.add(instance.name);
 		status?.caseOf({
 			Left() {
 				instance.observeUnreachable(sentAt);
 			},
 			Right: answer => {
 				instance.observeReport(parseStatus(answer), sentAt);
-				this.#observeStatus(instance);
+				this.#updatePrimary(instance);
 			},
 		});
 		this.detector.observe(this.clock.getNow());
-		this.confirmer.observeGroup();
+		this.confirmer.recheckPendingWrites();
 	}
 
 	close(): void {
@@ -130,7 +130,7 @@
 		}
 	}
 
-	#observeStatus(instance: InstanceView): void {
+	#updatePrimary(instance: InstanceView): void {
 		if (instance.isPrimary) {
 			this.observePrimary(instance.term, instance.name);
 		} else if (instance.name === this.state.primaryName) {
@@ -138,24 +138,24 @@
 		}
 	}
 
-	#observeChange(): void {
-		this.confirmer.observeGroup();
-		this.dispatcher.advance();
+	#handlePrimaryChange(): void {
+		this.confirmer.recheckPendingWrites();
+		this.dispatcher.placeWaiting();
 	}
 
-	#getProbePauseMs(instance: InstanceView, now: number): number {
+	#getProbeIntervalMs(instance: InstanceView, now: number): number {
 		if (!instance.isReachable || this.state.primary === undefined || this.detector.getFailingMs(now) > 0) {
-			return probePauses.inDoubt;
+			return probeIntervalsMs.suspected;
 		}
 
-		if (!this.isWatched) {
-			return probePauses.unwatched;
+		if (!this.isMonitored) {
+			return probeIntervalsMs.unmonitored;
 		}
 
-		return instance.name === this.state.primaryName ? probePauses.watchedPrimary : probePauses.watchedReplica;
+		return instance.name === this.state.primaryName ? probeIntervalsMs.monitoredPrimary : probeIntervalsMs.monitoredReplica;
 	}
 
-	#configureInstance(endpoint: NamedEndpoint, vms: number): void {
+	#addOrUpdateInstance(endpoint: NamedEndpoint, vms: number): void {
 		const instance = this.state.addInstance(endpoint.name, endpoint.zone);
 		const known = this.#pools.get(endpoint.name);
 		if (known !== undefined && known.address !== endpoint.address) {
@@ -175,7 +175,7 @@
 	#removeInstance(name: string): void {
 		this.#pools.get(name)?.close();
 		this.#pools.delete(name);
-		this.#examined.delete(name);
+		this.#probedInstances.delete(name);
 		this.state.removeInstance(name);
 	}
 }
--- a/packages/proxy/src/groups/promoter.ts
+++ b/packages/proxy/src/groups/promoter.ts
@@ -8,13 +8,13 @@
 import {type EndpointFailure, parsePosition} from '../endpoints/index.js';
 import {type Group} from './group.js';
 
-const callTimeoutMs = 500;
+const endpointTimeoutMs = 500;
 const tableTimeoutMs = 300;
-const graceMs = 50;
-const rowSchema = z.object({term: z.number(), promoter: z.string()});
+const lateResponseGraceMs = 50;
+const termClaimSchema = z.object({term: z.number(), promoter: z.string()});
 
 /** How the platform's table answered a claim of a term. */
-type TermClaim = 'claimed' | 'taken' | 'no-answer';
+type TermClaimResult = 'claimed' | 'taken' | 'no-answer';
 
 /** Gives a group a new primary. */
 export class Promoter {
@@ -29,7 +29,7 @@
 	 * The table settles which promoter takes the term; while it does not answer, a majority of the
 	 * instances does, since each accepts a term from one promoter only.
 	 */
-	async promote(group: Group): Promise<void> {
+	async promoteGroup(group: Group): Promise<void> {
 		const term = 1 + Math.max(group.state.term, ...group.state.instances.map(instance => instance.term));
 		const claim = await this.#claimTerm(group.state.name, term);
 		this.logger.info('promotion started', {group: group.state.name, term, claim});
@@ -45,14 +45,14 @@
 		}
 	}
 
-	async #claimTerm(group: string, term: number): Promise<TermClaim> {
-		const limit = new Promise<TermClaim>(resolve => {
+	async #claimTerm(group: string, term: number): Promise<TermClaimResult> {
+		const limit = new Promise<TermClaimResult>(resolve => {
 			setTimeout(resolve, tableTimeoutMs, 'no-answer');
 		});
 		return Promise.race([limit, this.#claimTermInTable(group, term)]);
 	}
 
-	async #claimTermInTable(group: string, term: number): Promise<TermClaim> {
+	async #claimTermInTable(group: string, term: number): Promise<TermClaimResult> {
 		const key = `group/${group}`;
 		const rows = await this.table.readRows([key]);
 		const row = rows.map(([first]) => first).orDefault(undefined);
@@ -60,18 +60,18 @@
 			return 'no-answer';
 		}
 
-		const current = parseClaim(row);
+		const current = parseTermClaim(row);
 		if (current.term >= term) {
 			return current.term === term && current.promoter === this.id ? 'claimed' : 'taken';
 		}
 
 		const written = await this.table.compareAndSet([{key, expectedVersion: row.version, value: JSON.stringify({term, promoter: this.id})}]);
-		return written.map((result): TermClaim => (result.applied ? 'claimed' : 'taken')).orDefault('no-answer');
+		return written.map((result): TermClaimResult => (result.applied ? 'claimed' : 'taken')).orDefault('no-answer');
 	}
 
 	async #fenceInstances(group: Group, term: number): Promise<PromotionCommand> {
 		const names = group.state.instances.map(instance => instance.name);
-		const round = new PromotionRound(term, names, graceMs, group.state.primaryName);
+		const round = new PromotionRound(term, names, lateResponseGraceMs, group.state.primaryName);
 		return new Promise(resolve => {
 			const finish = (command: PromotionCommand) => {
 				if (command.kind !== 'wait') {
@@ -88,7 +88,7 @@
 					}, this.clock.getNow()));
 					setTimeout(() => {
 						finish(round.advance(this.clock.getNow()));
-					}, graceMs + 1);
+					}, lateResponseGraceMs + 1);
 				});
 			});
 			void Promise.all(sendings).then(() => {
@@ -102,12 +102,12 @@
 		const control = group.getPool(name)?.control;
 		return control === undefined
 			? Left({stage: 'unsent', message: 'no connection'})
-			: control.fence(create(FenceRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: callTimeoutMs});
+			: control.fence(create(FenceRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: endpointTimeoutMs});
 	}
 
 	async #promoteInstance(group: Group, name: string, term: number): Promise<void> {
 		const {control} = (group.getPool(name)!);
-		const answer = await control.promote(create(PromoteRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: callTimeoutMs});
+		const answer = await control.promote(create(PromoteRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: endpointTimeoutMs});
 		const isAccepted = answer.map(response => response.accepted).orDefault(false);
 		if (isAccepted) {
 			group.observePrimary(term, name);
@@ -120,6 +120,6 @@
 	}
 }
 
-function parseClaim(row: TableRow): z.infer<typeof rowSchema> {
-	return row.version === 0 ? {term: 0, promoter: ''} : rowSchema.parse(JSON.parse(row.value));
+function parseTermClaim(row: TableRow): z.infer<typeof termClaimSchema> {
+	return row.version === 0 ? {term: 0, promoter: ''} : termClaimSchema.parse(JSON.parse(row.value));
 }
--- a/packages/proxy/src/groups/write-confirmer.ts
+++ b/packages/proxy/src/groups/write-confirmer.ts
@@ -16,12 +16,12 @@
 	readonly resolve: (confirmation: Confirmation) => void;
 };
 
-const longestWaitMs = 500;
+const maxProbeWaitMs = 500;
 
 /** Waits until replicas hold the writes that a primary has answered. */
 export class WriteConfirmer {
 	#pending: PendingWrite[] = [];
-	readonly #watched = new Set<string>();
+	readonly #polledReplicas = new Set<string>();
 
 	/**
 	 * @param group - What is known of the group.
@@ -36,8 +36,8 @@
 	 * @param term - Term in which the primary answered it.
 	 * @param deadline - Time to stop waiting.
 	 */
-	async confirm(position: LogPosition, term: number, deadline: number): Promise<Confirmation> {
-		const known = this.#judge({
+	async waitForConfirmation(position: LogPosition, term: number, deadline: number): Promise<Confirmation> {
+		const known = this.#getConfirmation({
 			position, term, deadline, resolve: () => undefined,
 		});
 		if (known !== undefined) {
@@ -48,32 +48,32 @@
 			this.#pending.push({
 				position, term, deadline, resolve,
 			});
-			this.#watchReplicas();
+			this.#startPolling();
 			setTimeout(() => {
-				this.#expire();
+				this.#resolveExpired();
 			}, Math.max(1, deadline - this.clock.getNow() + 1));
 		});
 	}
 
 	/** Re-examines the pending writes after news of the group. */
-	observeGroup(): void {
-		this.#settle(write => this.#judge(write));
+	recheckPendingWrites(): void {
+		this.#resolvePending(write => this.#getConfirmation(write));
 	}
 
-	#watchReplicas(): void {
+	#startPolling(): void {
 		for (const replica of this.group.replicas) {
-			if (!this.#watched.has(replica.name) && this.getControl(replica.name) !== undefined) {
-				this.#watched.add(replica.name);
-				void this.#watchReplica(replica.name);
+			if (!this.#polledReplicas.has(replica.name) && this.getControl(replica.name) !== undefined) {
+				this.#polledReplicas.add(replica.name);
+				void this.#pollReplica(replica.name);
 			}
 		}
 	}
 
-	async #watchReplica(name: string): Promise<void> {
+	async #pollReplica(name: string): Promise<void> {
 		const failurePauseMs = 50;
 		while (this.#pending.length > 0) {
 			const isAnswered = await this.#probeReplica(name);
-			this.observeGroup();
+			this.recheckPendingWrites();
 			if (!isAnswered) {
 				await new Promise(resolve => {
 					setTimeout(resolve, failurePauseMs);
@@ -81,7 +81,7 @@
 			}
 		}
 
-		this.#watched.delete(name);
+		this.#polledReplicas.delete(name);
 	}
 
 	async #probeReplica(name: string): Promise<boolean> {
@@ -95,15 +95,15 @@
 
 		const [first] = missing.toSorted(comparePositions);
 		const sentAt = this.clock.getNow();
-		const request = create(ProbeRequestSchema, first === undefined ? {} : {atLeast: formatPosition(first), maxWaitMs: longestWaitMs});
-		const status = await control.probe(request, {timeoutMs: longestWaitMs * 2});
+		const request = create(ProbeRequestSchema, first === undefined ? {} : {atLeast: formatPosition(first), maxWaitMs: maxProbeWaitMs});
+		const status = await control.probe(request, {timeoutMs: maxProbeWaitMs * 2});
 		status.ifRight(answer => {
 			view.observeReport(parseStatus(answer), sentAt);
 		});
 		return status.isRight();
 	}
 
-	#judge({position, term}: PendingWrite): Confirmation | undefined {
+	#getConfirmation({position, term}: PendingWrite): Confirmation | undefined {
 		if (this.group.instances.some(instance => instance.term > term)) {
 			return 'unconfirmed';
 		}
@@ -113,12 +113,12 @@
 		return others.some(replica => replica.term === term && replica.position.term === term && isAtLeast(replica.position, position)) ? 'confirmed' : undefined;
 	}
 
-	#expire(): void {
+	#resolveExpired(): void {
 		const now = this.clock.getNow();
-		this.#settle(write => (write.deadline <= now ? 'timed-out' : undefined));
+		this.#resolvePending(write => (write.deadline <= now ? 'timed-out' : undefined));
 	}
 
-	#settle(judge: (write: PendingWrite) => Confirmation | undefined): void {
+	#resolvePending(judge: (write: PendingWrite) => Confirmation | undefined): void {
 		const pending = this.#pending;
 		this.#pending = [];
 		for (const write of pending) {
--- a/packages/proxy/src/membership/peer-state-exchange.ts
+++ b/packages/proxy/src/membership/peer-state-exchange.ts
@@ -37,11 +37,11 @@
 	pollWatchersOfSuspectedGroups(): void {
 		const now = this.dependencies.clock.getNow();
 		for (const group of this.dependencies.groups.getGroups()) {
-			if (!group.isWatched || !group.detector.isPrimarySuspected(now)) {
+			if (!group.isMonitored || !group.detector.isPrimarySuspected(now)) {
 				continue;
 			}
 
-			for (const name of this.dependencies.groups.getWatchers(group.state.name)) {
+			for (const name of this.dependencies.groups.getMonitors(group.state.name)) {
 				const peer = this.dependencies.membership.getPeer(name);
 				if (peer !== undefined && now - (this.#urgentPollSentAt.get(name) ?? Number.NEGATIVE_INFINITY) >= urgentPollIntervalMs) {
 					this.#urgentPollSentAt.set(name, now);
@@ -88,7 +88,7 @@
 			synchronized: freshness.isSynchronized,
 			storeWordAgeMs: roundAge(freshness.getStoreSyncAgeMs(now)),
 			draining: membership.isDraining,
-			groups: groups.getGroups().filter(group => group.isWatched).map(group => ({
+			groups: groups.getGroups().filter(group => group.isMonitored).map(group => ({
 				group: group.state.name,
 				term: BigInt(group.state.term),
 				primary: group.state.primaryName ?? '',
--- a/packages/proxy/src/requests/claim-registry.ts
+++ b/packages/proxy/src/requests/claim-registry.ts
@@ -6,7 +6,7 @@
 const claimSchema = z.object({bodyHash: z.string(), claimId: z.string()});
 /** Rows that claims are spread over; each row keeps the newest claims only. */
 const bucketCount = 4096;
-const claimsPerBucket = 64;
+const maxClaimsPerBucket = 64;
 
 const bucketSchema = z.array(z.tuple([z.string(), claimSchema]));
 
@@ -27,7 +27,7 @@
 	async claimRequest(recordId: string, bodyHash: string, claimId: string, idempotencyKey: string): Promise<Either<Refusal, void>> {
 		const attempts = 4;
 		for (let attempt = 0; attempt < attempts; attempt += 1) {
-			const outcome = await this.#claimOnce(recordId, bodyHash, claimId, idempotencyKey);
+			const outcome = await this.#tryClaim(recordId, bodyHash, claimId, idempotencyKey);
 			if (outcome !== 'again') {
 				return outcome;
 			}
@@ -36,7 +36,7 @@
 		return Left(refusals.overloaded('claims', 100));
 	}
 
-	async #claimOnce(recordId: string, bodyHash: string, claimId: string, idempotencyKey: string): Promise<Either<Refusal, void> | 'again'> {
+	async #tryClaim(recordId: string, bodyHash: string, claimId: string, idempotencyKey: string): Promise<Either<Refusal, void> | 'again'> {
 		const key = getBucketKey(recordId);
 		const rows = await this.table.readRows([key]);
 		if (rows.isLeft()) {
@@ -47,10 +47,10 @@
 		const claims = row === undefined || row.version === 0 ? [] : bucketSchema.parse(JSON.parse(row.value));
 		const known = claims.find(([id]) => id === recordId)?.[1];
 		if (known !== undefined) {
-			return judgeClaim(known, bodyHash, claimId, idempotencyKey);
+			return checkClaim(known, bodyHash, claimId, idempotencyKey);
 		}
 
-		const value = JSON.stringify([...claims, [recordId, {bodyHash, claimId}]].slice(-claimsPerBucket));
+		const value = JSON.stringify([...claims, [recordId, {bodyHash, claimId}]].slice(-maxClaimsPerBucket));
 		const written = await this.table.compareAndSet([{key, expectedVersion: row?.version ?? 0, value}]);
 		return written.caseOf<Either<Refusal, void> | 'again'>({
 			Left: () => 'again',
@@ -59,7 +59,7 @@
 	}
 }
 
-function judgeClaim(known: z.infer<typeof claimSchema>, bodyHash: string, claimId: string, idempotencyKey: string): Either<Refusal, void> {
+function checkClaim(known: z.infer<typeof claimSchema>, bodyHash: string, claimId: string, idempotencyKey: string): Either<Refusal, void> {
 	if (known.bodyHash !== bodyHash) {
 		return Left(refusals.requestMismatch(idempotencyKey));
 	}
--- a/packages/proxy/src/requests/wait.ts
+++ b/packages/proxy/src/requests/delay.ts
@@ -1,5 +1,5 @@
 /** Waits for a time. */
-export async function waitMs(durationMs: number): Promise<void> {
+export async function delay(durationMs: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, durationMs);
 	});
--- a/packages/proxy/src/requests/answer.ts
+++ b/packages/proxy/src/requests/endpoint-response.ts
@@ -3,7 +3,7 @@
 import {parsePosition} from '../endpoints/index.js';
 
 /** The answer of an endpoint to one request. */
-export type Answer = {
+export type EndpointResponse = {
 	readonly rows: Row[];
 	readonly position: LogPosition;
 	readonly servedBy: 'primary' | 'replica';
@@ -12,7 +12,7 @@
 };
 
 /** Reads an answer off the wire. */
-export function parseAnswer(response: ExecuteResponse, isPrimary: boolean): Answer {
+export function parseEndpointResponse(response: ExecuteResponse, isPrimary: boolean): EndpointResponse {
 	return {
 		rows: response.rows,
 		position: parsePosition(response.position),
--- a/packages/proxy/src/requests/read-runner.ts
+++ b/packages/proxy/src/requests/read-runner.ts
@@ -7,11 +7,11 @@
 } from '@chicorysaddle/model';
 import {type CallerIdentity} from '../access/index.js';
 import {formatPosition, parsePosition} from '../endpoints/index.js';
-import {type Group, type Slot} from '../groups/index.js';
-import {type Answer, parseAnswer} from './answer.js';
+import {type Group, type Placement} from '../groups/index.js';
+import {type EndpointResponse, parseEndpointResponse} from './endpoint-response.js';
 import {type RequestContext} from './request-context.js';
-import {type RequestParts} from './request-parts.js';
-import {waitMs} from './wait.js';
+import {type RequestDependencies} from './request-dependencies.js';
+import {delay} from './delay.js';
 
 /** One read, with everything that decides where it may run. */
 export type ReadRequest = {
@@ -20,23 +20,23 @@
 	readonly parameters: Readonly<Record<string, string>>;
 	readonly caller: CallerIdentity;
 	readonly weight: number;
-	readonly mark: SessionWatermark;
+	readonly watermark: SessionWatermark;
 	/** Age of data that the read accepts; zero asks for none in particular. */
 	readonly maxStalenessMs: number;
 };
 
-type Attempt = {readonly kind: 'answered'; readonly answer: Answer} | {readonly kind: 'failed'; readonly isEndpointRefusal: boolean};
+type AttemptResult = {readonly kind: 'answered'; readonly answer: EndpointResponse} | {readonly kind: 'failed'; readonly isEndpointRefusal: boolean};
 
 /** Runs reads on replicas that have what the session has seen, else on the primary. */
 export class ReadRunner {
-	constructor(private readonly parts: RequestParts) {}
+	constructor(private readonly dependencies: RequestDependencies) {}
 
 	/** Runs a read, moving on to another instance when one fails. */
-	async runRead(read: ReadRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
-		const {gate, clock, retryBudget} = this.parts;
+	async runRead(read: ReadRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
+		const {gate, clock, retryBudget} = this.dependencies;
 		const tried = new Set<string>();
 		for (let attempt = 0; ; attempt += 1) {
-			const slot = await this.#acquireSlot(read, context, tried);
+			const slot = await this.#acquirePlacement(read, context, tried);
 			if (slot.isLeft()) {
 				return slot;
 			}
@@ -48,48 +48,48 @@
 				return allowed;
 			}
 
-			const result = await this.#tryInstance(read, held, context);
+			const result = await this.#executeRead(read, held, context);
 			if (result.kind === 'answered') {
 				return Right(result.answer);
 			}
 
 			tried.add(held.instance.name);
 			if (!result.isEndpointRefusal && !retryBudget.acquireRetry()) {
-				return Left(refusals.overloaded(read.group.state.name, getRetryDelayMs(attempt, this.parts.getRandom())));
+				return Left(refusals.overloaded(read.group.state.name, getRetryDelayMs(attempt, this.dependencies.getRandom())));
 			}
 
 			if (tried.size >= read.group.state.instances.length) {
 				tried.clear();
-				await waitMs(Math.min(getRetryDelayMs(attempt, this.parts.getRandom()), Math.max(0, context.deadline - clock.getNow())));
+				await delay(Math.min(getRetryDelayMs(attempt, this.dependencies.getRandom()), Math.max(0, context.deadline - clock.getNow())));
 			}
 		}
 	}
 
-	async #acquireSlot(read: ReadRequest, context: RequestContext, tried: ReadonlySet<string>): Promise<Either<Refusal, Slot>> {
-		const {router, clock, metrics} = this.parts;
+	async #acquirePlacement(read: ReadRequest, context: RequestContext, tried: ReadonlySet<string>): Promise<Either<Refusal, Placement>> {
+		const {router, clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
 		const need = {
-			position: read.mark.position, primaryOnly: read.mark.primaryOnly, maxStalenessMs: read.maxStalenessMs, tried,
+			position: read.watermark.position, primaryOnly: read.watermark.primaryOnly, maxStalenessMs: read.maxStalenessMs, tried,
 		};
-		const slot = await read.group.dispatcher.acquireSlot({
+		const slot = await read.group.dispatcher.acquirePlacement({
 			account: read.caller.account,
 			priority: read.route.priority,
 			weight: read.weight,
 			deadline: context.deadline,
-			choose: now => router.chooseInstance(read.group.state, need, now),
+			chooseInstance: now => router.chooseInstance(read.group.state, need, now),
 		});
 		metrics.recordDuration('queue', clock.getNow() - startedAt);
 		return slot;
 	}
 
-	async #tryInstance(read: ReadRequest, slot: Slot, context: RequestContext): Promise<Attempt> {
-		const {clock, metrics, tracing} = this.parts;
+	async #executeRead(read: ReadRequest, slot: Placement, context: RequestContext): Promise<AttemptResult> {
+		const {clock, metrics, tracing} = this.dependencies;
 		const sentAt = clock.getNow();
 		const request = create(ExecuteRequestSchema, {
-			requestId: this.parts.createId(),
+			requestId: this.dependencies.createId(),
 			statement: read.route.statement,
 			parameters: read.parameters,
-			atLeast: formatPosition(read.mark.position),
+			atLeast: formatPosition(read.watermark.position),
 			term: BigInt(read.group.state.term),
 			maxWaitMs: slot.waitMs,
 			maxStalenessMs: read.maxStalenessMs,
@@ -100,7 +100,7 @@
 		});
 		const durationMs = clock.getNow() - sentAt;
 		metrics.recordDuration('endpoint', durationMs);
-		return result.caseOf<Attempt>({
+		return result.caseOf<AttemptResult>({
 			Left(failure) {
 				slot.release(false);
 				if (failure.stage === 'unsent') {
@@ -112,19 +112,19 @@
 			},
 			Right: response => {
 				slot.instance.observeLatency(durationMs);
-				read.group.observeAnswer(slot.instance);
+				read.group.observeResponse(slot.instance);
 				slot.release(true);
-				return this.#judgeResponse(read, slot, response, sentAt);
+				return this.#checkResponse(read, slot, response, sentAt);
 			},
 		});
 	}
 
-	#judgeResponse(read: ReadRequest, slot: Slot, response: ExecuteResponse, sentAt: number): Attempt {
+	#checkResponse(read: ReadRequest, slot: Placement, response: ExecuteResponse, sentAt: number): AttemptResult {
 		const position = parsePosition(response.position);
 		slot.instance.observePosition(position, response.stalenessMs, sentAt);
 		const isPrimary = slot.instance.name === read.group.state.primaryName;
 		const isYoungEnough = read.maxStalenessMs === 0 || isPrimary || response.stalenessMs <= read.maxStalenessMs;
-		const isUsable = response.outcome === Outcome.DONE && isAtLeast(position, read.mark.position) && isYoungEnough;
-		return isUsable ? {kind: 'answered', answer: parseAnswer(response, isPrimary)} : {kind: 'failed', isEndpointRefusal: true};
+		const isUsable = response.outcome === Outcome.DONE && isAtLeast(position, read.watermark.position) && isYoungEnough;
+		return isUsable ? {kind: 'answered', answer: parseEndpointResponse(response, isPrimary)} : {kind: 'failed', isEndpointRefusal: true};
 	}
 }
--- a/packages/proxy/src/requests/request-parts.ts
+++ b/packages/proxy/src/requests/request-dependencies.ts
@@ -8,10 +8,10 @@
 import {type ClaimRegistry} from './claim-registry.js';
 
 /** Names of the moments at which a write is acknowledged. */
-export type AcknowledgePolicyName = 'replica' | 'at-once';
+export type AcknowledgePolicy = 'replica' | 'at-once';
 
 /** Parts that serve requests. */
-export type RequestParts = {
+export type RequestDependencies = {
 	readonly gate: AccessGate;
 	readonly configuration: ConfigurationReplica;
 	readonly groups: GroupRegistry;
@@ -23,7 +23,7 @@
 	readonly clock: Clock;
 	readonly metrics: Metrics;
 	readonly tracing: Tracing;
-	readonly acknowledge: AcknowledgePolicyName;
+	readonly acknowledge: AcknowledgePolicy;
 	/** Returns a random number from zero up to one. */
 	getRandom(): number;
 	/** Returns an identity that no other request has. */
--- a/packages/proxy/src/requests/request-runner.ts
+++ b/packages/proxy/src/requests/request-runner.ts
@@ -3,11 +3,11 @@
 import {type Refusal, refusals, type Route} from '@chicorysaddle/model';
 import {type CallerIdentity} from '../access/index.js';
 import {type Group} from '../groups/index.js';
-import {type Answer} from './answer.js';
+import {type EndpointResponse} from './endpoint-response.js';
 import {ReadRunner} from './read-runner.js';
 import {type RequestContext} from './request-context.js';
 import {getRecordId, hashBody, maxIdempotencyKeyLength} from './request-identity.js';
-import {type RequestParts} from './request-parts.js';
+import {type RequestDependencies} from './request-dependencies.js';
 import {WriteRunner} from './write-runner.js';
 
 /** A request on a route. */
@@ -20,12 +20,12 @@
 };
 
 /** An answer with the session token to use from now on. */
-export type RunResult = {readonly answer: Answer; readonly session: string};
+export type RunResult = {readonly response: EndpointResponse; readonly session: string};
 
 /** A refusal, with a session token where the refusal changed the session. */
 export type RunRefusal = {readonly refusal: Refusal; readonly session: string};
 
-type CheckedRequest = {
+type ValidRequest = {
 	readonly route: Route;
 	readonly group: Group;
 	readonly caller: CallerIdentity;
@@ -34,19 +34,19 @@
 
 /** Serves requests on routes: checks, admits, queues, runs and answers them. */
 export class RequestRunner {
-	readonly #reads: ReadRunner;
-	readonly #writes: WriteRunner;
+	readonly #readRunner: ReadRunner;
+	readonly #writeRunner: WriteRunner;
 
-	constructor(private readonly parts: RequestParts) {
-		this.#reads = new ReadRunner(parts);
-		this.#writes = new WriteRunner(parts);
+	constructor(private readonly dependencies: RequestDependencies) {
+		this.#readRunner = new ReadRunner(dependencies);
+		this.#writeRunner = new WriteRunner(dependencies);
 	}
 
 	/** Serves one request. */
 	async runRequest(request: RouteRequest, context: RequestContext): Promise<Either<RunRefusal, RunResult>> {
-		const {metrics, clock} = this.parts;
+		const {metrics, clock} = this.dependencies;
 		const startedAt = clock.getNow();
-		const checked = this.#checkRequest(request, context);
+		const checked = this.#validateRequest(request, context);
 		if (checked.isLeft()) {
 			const refusal = checked.swap().unsafeCoerce();
 			metrics.addCount(`refused_kind.${refusal.kind}`);
@@ -54,22 +54,22 @@
 		}
 
 		const {route, caller, session} = checked.unsafeCoerce();
-		const admitted = await this.admit(caller, context);
+		const admitted = await this.admitRequest(caller, context);
 		if (admitted.isLeft()) {
 			return Left({refusal: admitted.extract(), session: ''});
 		}
 
-		this.parts.retryBudget.observeRequest();
+		this.dependencies.retryBudget.observeRequest();
 		const result = route.access === 'read'
 			? await this.#runRead(request, checked.unsafeCoerce(), context)
 			: await this.#runWrite(request, checked.unsafeCoerce(), context);
 		metrics.recordDuration('request', clock.getNow() - startedAt);
-		return this.#finish(result, route, session, caller);
+		return this.#completeRequest(result, route, session, caller);
 	}
 
 	/** Waits until the account's limits let a request through. */
-	async admit(caller: CallerIdentity, context: RequestContext): Promise<Either<Refusal, void>> {
-		const {limiter, clock, metrics} = this.parts;
+	async admitRequest(caller: CallerIdentity, context: RequestContext): Promise<Either<Refusal, void>> {
+		const {limiter, clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
 		const admitted = await limiter.admitRequest(caller.account, context.deadline);
 		metrics.recordDuration('admission', clock.getNow() - startedAt);
@@ -77,8 +77,8 @@
 		return admitted;
 	}
 
-	#checkRequest(request: RouteRequest, context: RequestContext): Either<Refusal, CheckedRequest> {
-		const {configuration, gate, groups, sessions} = this.parts;
+	#validateRequest(request: RouteRequest, context: RequestContext): Either<Refusal, ValidRequest> {
+		const {configuration, gate, groups, sessions} = this.dependencies;
 		const route = configuration.current.getRoute(request.route);
 		const identified = gate.identifyCaller(context.authorization, route?.open ?? false);
 		return identified.chain(caller => {
@@ -97,37 +97,37 @@
 		});
 	}
 
-	async #runRead(request: RouteRequest, {route, group, caller, session}: CheckedRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
-		return this.#reads.runRead({
+	async #runRead(request: RouteRequest, {route, group, caller, session}: ValidRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
+		return this.#readRunner.runRead({
 			route, group, caller,
 			parameters: request.parameters,
 			weight: this.#getWeight(caller),
-			mark: session.getWatermark(route.group),
+			watermark: session.getWatermark(route.group),
 			maxStalenessMs: request.acceptedStalenessMs || route.stalenessMs,
 		}, context);
 	}
 
-	async #runWrite(request: RouteRequest, {route, group, caller}: CheckedRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
-		const {configuration, claims} = this.parts;
+	async #runWrite(request: RouteRequest, {route, group, caller}: ValidRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
+		const {configuration, claims} = this.dependencies;
 		const requestClass = getRequestClass('write', route.repeatable, configuration.current.isRecordingRequestIds(route.group));
 		const bodyHash = hashBody(request.route, request.parameters);
-		const recordId = getRecordId(caller.account, context.idempotencyKey || this.parts.createId());
+		const recordId = getRecordId(caller.account, context.idempotencyKey || this.dependencies.createId());
 		if (requestClass === 'unrecorded-write' && context.idempotencyKey !== '') {
-			const claimed = await claims.claimRequest(recordId, bodyHash, this.parts.createId(), context.idempotencyKey);
+			const claimed = await claims.claimRequest(recordId, bodyHash, this.dependencies.createId(), context.idempotencyKey);
 			if (claimed.isLeft()) {
 				return claimed;
 			}
 		}
 
-		return this.#writes.runWrite({
+		return this.#writeRunner.runWrite({
 			route, group, caller, requestClass, recordId, bodyHash,
 			parameters: request.parameters,
 			weight: this.#getWeight(caller),
 		}, context);
 	}
 
-	#finish(result: Either<Refusal, Answer>, route: Route, session: Session, caller: CallerIdentity): Either<RunRefusal, RunResult> {
-		const {sessions, metrics} = this.parts;
+	#completeRequest(result: Either<Refusal, EndpointResponse>, route: Route, session: Session, caller: CallerIdentity): Either<RunRefusal, RunResult> {
+		const {sessions, metrics} = this.dependencies;
 		return result.bimap(
 			refusal => {
 				metrics.addCount(`refused_kind.${refusal.kind}`);
@@ -138,16 +138,16 @@
 				session.observeUnknownWrite(route.group);
 				return {refusal, session: sessions.formatToken(session, caller.account)};
 			},
-			answer => {
-				metrics.addCount(`served.${answer.servedBy}`);
-				session.observePosition(route.group, answer.position, answer.servedBy === 'primary');
-				return {answer, session: sessions.formatToken(session, caller.account)};
+			response => {
+				metrics.addCount(`served.${response.servedBy}`);
+				session.observePosition(route.group, response.position, response.servedBy === 'primary');
+				return {response, session: sessions.formatToken(session, caller.account)};
 			},
 		);
 	}
 
 	#getWeight(caller: CallerIdentity): number {
-		return this.parts.configuration.current.getAccount(caller.account)?.weight ?? 1;
+		return this.dependencies.configuration.current.getAccount(caller.account)?.weight ?? 1;
 	}
 }
 
--- a/packages/proxy/src/requests/write-runner.ts
+++ b/packages/proxy/src/requests/write-runner.ts
@@ -7,11 +7,11 @@
 import {type Refusal, refusals, type Route} from '@chicorysaddle/model';
 import {type CallerIdentity} from '../access/index.js';
 import {parsePosition} from '../endpoints/index.js';
-import {type Group, type Slot} from '../groups/index.js';
-import {type Answer, parseAnswer} from './answer.js';
+import {type Group, type Placement} from '../groups/index.js';
+import {type EndpointResponse, parseEndpointResponse} from './endpoint-response.js';
 import {type RequestContext} from './request-context.js';
-import {type RequestParts} from './request-parts.js';
-import {waitMs} from './wait.js';
+import {type RequestDependencies} from './request-dependencies.js';
+import {delay} from './delay.js';
 
 /** One write, with the identity under which it is recorded. */
 export type WriteRequest = {
@@ -25,57 +25,57 @@
 	readonly bodyHash: string;
 };
 
-type Attempt =
-	| {readonly kind: 'answered'; readonly answer: Answer}
+type AttemptResult =
+	| {readonly kind: 'answered'; readonly answer: EndpointResponse}
 	| {readonly kind: 'failed'; readonly stage: RequestStage}
 	| {readonly kind: 'refused'; readonly refusal: Refusal};
 
 /** Runs writes on the primary and acknowledges them once a replica holds them in the same term. */
 export class WriteRunner {
-	constructor(private readonly parts: RequestParts) {}
+	constructor(private readonly dependencies: RequestDependencies) {}
 
 	/** Runs a write, again where its class allows that. */
-	async runWrite(write: WriteRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
+	async runWrite(write: WriteRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
 		const stages: RequestStage[] = [];
 		for (let attempt = 0; ; attempt += 1) {
-			const slot = await this.#acquireSlot(write, context);
+			const slot = await this.#acquirePlacement(write, context);
 			if (slot.isLeft()) {
-				return this.#giveUp(write, stages, slot.extract());
+				return this.#createFinalRefusal(write, stages, slot.extract());
 			}
 
-			const result = await this.#useSlot(write, slot.unsafeCoerce(), context);
+			const result = await this.#executeWrite(write, slot.unsafeCoerce(), context);
 			if (result.kind === 'answered') {
 				return Right(result.answer);
 			}
 
 			if (result.kind === 'refused') {
-				return this.#giveUp(write, stages, result.refusal);
+				return this.#createFinalRefusal(write, stages, result.refusal);
 			}
 
 			stages.push(result.stage);
-			const refusal = await this.#prepareRetry(write, result.stage, attempt, context);
+			const refusal = await this.#waitForRetry(write, result.stage, attempt, context);
 			if (refusal !== undefined) {
-				return this.#giveUp(write, stages, refusal);
+				return this.#createFinalRefusal(write, stages, refusal);
 			}
 		}
 	}
 
-	async #acquireSlot(write: WriteRequest, context: RequestContext): Promise<Either<Refusal, Slot>> {
-		const {clock, metrics} = this.parts;
+	async #acquirePlacement(write: WriteRequest, context: RequestContext): Promise<Either<Refusal, Placement>> {
+		const {clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
-		const slot = await write.group.dispatcher.acquireSlot({
+		const slot = await write.group.dispatcher.acquirePlacement({
 			account: write.caller.account,
 			priority: write.route.priority,
 			weight: write.weight,
 			deadline: context.deadline,
-			choose: () => choosePrimary(write.group),
+			chooseInstance: () => choosePrimary(write.group),
 		});
 		metrics.recordDuration('queue', clock.getNow() - startedAt);
 		return slot;
 	}
 
-	async #useSlot(write: WriteRequest, slot: Slot, context: RequestContext): Promise<Attempt> {
-		const {gate, clock, metrics, tracing} = this.parts;
+	async #executeWrite(write: WriteRequest, slot: Placement, context: RequestContext): Promise<AttemptResult> {
+		const {gate, clock, metrics, tracing} = this.dependencies;
 		const allowed = gate.checkIdentity(write.caller);
 		if (allowed.isLeft()) {
 			slot.release(true);
@@ -86,7 +86,7 @@
 		const {term} = group.state;
 		const sentAt = clock.getNow();
 		const request = create(ExecuteRequestSchema, {
-			requestId: this.parts.createId(),
+			requestId: this.dependencies.createId(),
 			recordId: write.requestClass === 'recorded-write' ? write.recordId : '',
 			bodyHash: write.bodyHash,
 			statement: write.route.statement,
@@ -112,14 +112,14 @@
 		}
 
 		slot.instance.observeLatency(durationMs);
-		group.observeAnswer(slot.instance);
+		group.observeResponse(slot.instance);
 		slot.release(true);
-		return this.#judgeResponse(write, slot, term, result.unsafeCoerce(), context);
+		return this.#checkResponse(write, slot, term, result.unsafeCoerce(), context);
 	}
 
-	async #judgeResponse(write: WriteRequest, slot: Slot, term: number, response: ExecuteResponse, context: RequestContext): Promise<Attempt> {
+	async #checkResponse(write: WriteRequest, slot: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
 		if (response.outcome === Outcome.DONE) {
-			return this.#confirm(write, slot, term, response, context);
+			return this.#waitForConfirmation(write, slot, term, response, context);
 		}
 
 		if (response.outcome === Outcome.RECORD_MISMATCH) {
@@ -137,30 +137,30 @@
 		return {kind: 'failed', stage: 'refused-by-endpoint'};
 	}
 
-	async #confirm(write: WriteRequest, slot: Slot, term: number, response: ExecuteResponse, context: RequestContext): Promise<Attempt> {
-		const {clock, metrics} = this.parts;
+	async #waitForConfirmation(write: WriteRequest, slot: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
+		const {clock, metrics} = this.dependencies;
 		const position = parsePosition(response.position);
 		slot.instance.observePosition(position, 0, clock.getNow());
-		if (this.parts.acknowledge === 'at-once') {
-			return {kind: 'answered', answer: parseAnswer(response, true)};
+		if (this.dependencies.acknowledge === 'at-once') {
+			return {kind: 'answered', answer: parseEndpointResponse(response, true)};
 		}
 
 		const startedAt = clock.getNow();
-		const confirmation = await write.group.confirmer.confirm(position, term, context.deadline);
+		const confirmation = await write.group.confirmer.waitForConfirmation(position, term, context.deadline);
 		metrics.recordDuration('confirm', clock.getNow() - startedAt);
 		return confirmation === 'confirmed'
-			? {kind: 'answered', answer: parseAnswer(response, true)}
+			? {kind: 'answered', answer: parseEndpointResponse(response, true)}
 			: {kind: 'failed', stage: 'unconfirmed'};
 	}
 
 	/** Returns why the write is not tried again, undefined when it is. */
-	async #prepareRetry(write: WriteRequest, stage: RequestStage, attempt: number, context: RequestContext): Promise<Refusal | undefined> {
-		const {clock, retryBudget} = this.parts;
+	async #waitForRetry(write: WriteRequest, stage: RequestStage, attempt: number, context: RequestContext): Promise<Refusal | undefined> {
+		const {clock, retryBudget} = this.dependencies;
 		if (getRetryDecision(write.requestClass, stage) !== 'retry') {
 			return refusals.outcomeUnknown('the answer was lost');
 		}
 
-		const delayMs = getRetryDelayMs(attempt, this.parts.getRandom());
+		const delayMs = getRetryDelayMs(attempt, this.dependencies.getRandom());
 		if (clock.getNow() + delayMs >= context.deadline) {
 			return refusals.deadlineNotRun();
 		}
@@ -169,12 +169,12 @@
 			return refusals.overloaded(write.group.state.name, delayMs);
 		}
 
-		await waitMs(delayMs);
+		await delay(delayMs);
 		return undefined;
 	}
 
 	/** "Not run" is said only when no sending of the write can have run. */
-	#giveUp(write: WriteRequest, stages: readonly RequestStage[], refusal: Refusal): Either<Refusal, Answer> {
+	#createFinalRefusal(write: WriteRequest, stages: readonly RequestStage[], refusal: Refusal): Either<Refusal, EndpointResponse> {
 		const mayHaveRun = getFinalDecision(stages, write.requestClass) === 'refuse-unknown';
 		if (!mayHaveRun || !refusal.hasNotRun) {
 			return Left(refusal);
--- a/packages/proxy/src/services/caller-handlers.ts
+++ b/packages/proxy/src/services/caller-handlers.ts
@@ -11,7 +11,7 @@
 import {type Membership} from '../membership/index.js';
 import {type Clock, type Metrics, type Tracing} from '../observability/index.js';
 import {
-	type Answer, type RequestContext, type RequestRunner, type RunRefusal,
+	type EndpointResponse, type RequestContext, type RequestRunner, type RunRefusal,
 } from '../requests/index.js';
 import {type TransactionRunner} from '../transactions/index.js';
 
@@ -38,11 +38,11 @@
 		const result = await this.parts.requests.runRequest({
 			route: request.route, parameters: request.parameters, session: request.session, acceptedStalenessMs: request.acceptedStalenessMs,
 		}, context);
-		return result.map(({answer, session}) => formatAnswer(answer, session));
+		return result.map(({response: answer, session}) => formatAnswer(answer, session));
 	}
 
 	async begin(request: BeginRequest, context: RequestContext): Outcome<BeginResponse> {
-		const result = await this.parts.transactions.begin(request.group, context);
+		const result = await this.parts.transactions.beginTransaction(request.group, context);
 		return result.bimap(withoutSession, transaction => create(BeginResponseSchema, {transaction}));
 	}
 
@@ -75,12 +75,12 @@
 		},
 		commit: async (body, context) => {
 			const request = fromBinary(CommitRequestSchema, body);
-			const result = await this.parts.transactions.commit(request.transaction, request.session, context);
-			return result.map(({answer, session}) => toBinary(RunResponseSchema, formatAnswer(answer, session)));
+			const result = await this.parts.transactions.commitTransaction(request.transaction, request.session, context);
+			return result.map(({response: answer, session}) => toBinary(RunResponseSchema, formatAnswer(answer, session)));
 		},
 		'roll-back': async (body, context) => {
 			const request = fromBinary(RollBackRequestSchema, body);
-			const result = await this.parts.transactions.rollBack(request.transaction, context);
+			const result = await this.parts.transactions.rollBackTransaction(request.transaction, context);
 			return result.bimap(withoutSession, () => toBinary(RollBackResponseSchema, create(RollBackResponseSchema)));
 		},
 	};
@@ -135,7 +135,7 @@
 	return {refusal, session: ''};
 }
 
-function formatAnswer(answer: Answer, session: string): RunResponse {
+function formatAnswer(answer: EndpointResponse, session: string): RunResponse {
 	return create(RunResponseSchema, {
 		rows: answer.rows, session, servedBy: answer.servedBy, stalenessMs: answer.stalenessMs, replayed: answer.replayed,
 	});
--- a/packages/proxy/src/transactions/transaction-registry.ts
+++ b/packages/proxy/src/transactions/transaction-registry.ts
@@ -1,21 +1,21 @@
 import {type CallerIdentity} from '../access/index.js';
-import {type Group, type Slot} from '../groups/index.js';
+import {type Group, type Placement} from '../groups/index.js';
 import {type Clock} from '../observability/index.js';
 import {isTransactionLost, type Transaction} from './transaction.js';
 
 /** Limits on the life of a transaction. */
-export type TransactionLimits = {
+export type TransactionTimeouts = {
 	/** Longest pause between two statements, in milliseconds. */
-	readonly idleMs: number;
-	readonly totalMs: number;
+	readonly idleTimeoutMs: number;
+	readonly totalTimeoutMs: number;
 };
 
 /** What a new transaction is made of. */
-export type TransactionStructure = {
+export type NewTransaction = {
 	readonly id: string;
 	readonly caller: CallerIdentity;
 	readonly group: Group;
-	readonly slot: Slot;
+	readonly placement: Placement;
 	readonly term: number;
 };
 
@@ -23,7 +23,7 @@
 export class TransactionRegistry {
 	readonly #transactions = new Map<string, Transaction>();
 
-	constructor(private readonly limits: TransactionLimits, private readonly clock: Clock) {}
+	constructor(private readonly timeouts: TransactionTimeouts, private readonly clock: Clock) {}
 
 	get size(): number {
 		return this.#transactions.size;
@@ -34,18 +34,18 @@
 	}
 
 	/** Returns how many transactions are open on an instance. */
-	countOn(instance: string): number {
-		return [...this.#transactions.values()].filter(transaction => transaction.slot.instance.name === instance).length;
+	countTransactionsOn(instance: string): number {
+		return [...this.#transactions.values()].filter(transaction => transaction.placement.instance.name === instance).length;
 	}
 
-	addTransaction(structure: TransactionStructure): Transaction {
+	addTransaction(structure: NewTransaction): Transaction {
 		const now = this.clock.getNow();
 		const transaction: Transaction = {
 			...structure,
 			groupName: structure.group.state.name,
-			lossesAtBegin: structure.slot.connection.losses,
-			openUntil: now + this.limits.totalMs,
-			idleUntil: now + this.limits.idleMs,
+			lossesAtBegin: structure.placement.connection.losses,
+			expiresAt: now + this.timeouts.totalTimeoutMs,
+			idleExpiresAt: now + this.timeouts.idleTimeoutMs,
 			isBusy: false,
 		};
 		this.#transactions.set(transaction.id, transaction);
@@ -53,9 +53,9 @@
 	}
 
 	/** Notes that a statement has ended. */
-	touch(transaction: Transaction): void {
+	setIdle(transaction: Transaction): void {
 		transaction.isBusy = false;
-		transaction.idleUntil = this.clock.getNow() + this.limits.idleMs;
+		transaction.idleExpiresAt = this.clock.getNow() + this.timeouts.idleTimeoutMs;
 	}
 
 	/**
@@ -64,15 +64,15 @@
 	 */
 	removeTransaction(transaction: Transaction, isClean: boolean): void {
 		if (this.#transactions.delete(transaction.id)) {
-			transaction.slot.release(isClean && !isTransactionLost(transaction));
+			transaction.placement.release(isClean && !isTransactionLost(transaction));
 		}
 	}
 
 	/** Ends the transactions that are out of time, lost or no longer allowed. */
-	sweep(isAllowed: (caller: CallerIdentity) => boolean): void {
+	removeInvalid(isAllowed: (caller: CallerIdentity) => boolean): void {
 		const now = this.clock.getNow();
 		for (const transaction of this.#transactions.values()) {
-			const isLate = now >= transaction.openUntil || (!transaction.isBusy && now >= transaction.idleUntil);
+			const isLate = now >= transaction.expiresAt || (!transaction.isBusy && now >= transaction.idleExpiresAt);
 			if (isLate || (!transaction.isBusy && (isTransactionLost(transaction) || !isAllowed(transaction.caller)))) {
 				this.removeTransaction(transaction, false);
 			}
--- a/packages/proxy/src/transactions/transaction-runner.ts
+++ b/packages/proxy/src/transactions/transaction-runner.ts
@@ -6,7 +6,7 @@
 import {type Refusal, refusals, type Route} from '@chicorysaddle/model';
 import {type EndpointFailure, parsePosition} from '../endpoints/index.js';
 import {
-	type Answer, choosePrimary, getRecordId, hashBody, parseAnswer, type RequestContext, type RequestParts, type RequestRunner, type RunRefusal, type RunResult,
+	type EndpointResponse, choosePrimary, getRecordId, hashBody, parseEndpointResponse, type RequestContext, type RequestDependencies, type RequestRunner, type RunRefusal, type RunResult,
 } from '../requests/index.js';
 import {isTransactionLost, type Transaction} from './transaction.js';
 import {type TransactionRegistry} from './transaction-registry.js';
@@ -22,7 +22,7 @@
 };
 
 /** Parts that transactions need besides those of single requests. */
-export type TransactionParts = RequestParts & {
+export type TransactionDependencies = RequestDependencies & {
 	readonly registry: TransactionRegistry;
 	readonly requests: RequestRunner;
 	/** VM and incarnation of this process, in front of every transaction id. */
@@ -31,11 +31,11 @@
 
 /** Serves interactive transactions on the connections that own them. */
 export class TransactionRunner {
-	constructor(private readonly parts: TransactionParts) {}
+	constructor(private readonly dependencies: TransactionDependencies) {}
 
 	/** Begins a transaction on the primary of a group. */
-	async begin(groupName: string, context: RequestContext): Promise<Either<Refusal, string>> {
-		const {gate, groups, requests} = this.parts;
+	async beginTransaction(groupName: string, context: RequestContext): Promise<Either<Refusal, string>> {
+		const {gate, groups, requests} = this.dependencies;
 		const identified = gate.identifyCaller(context.authorization, false);
 		const group = groups.getGroup(groupName);
 		if (identified.isLeft() || group === undefined) {
@@ -43,17 +43,17 @@
 		}
 
 		const caller = identified.unsafeCoerce();
-		const admitted = await requests.admit(caller, context);
+		const admitted = await requests.admitRequest(caller, context);
 		if (admitted.isLeft()) {
 			return admitted;
 		}
 
-		const slot = await group.dispatcher.acquireSlot({
+		const slot = await group.dispatcher.acquirePlacement({
 			account: caller.account, priority: 'normal', weight: 1, deadline: context.deadline,
-			choose: () => {
+			chooseInstance: () => {
 				const choice = choosePrimary(group);
 				const pool = choice.kind === 'send' ? group.getPool(choice.instance.name) : undefined;
-				return choice.kind === 'send' && this.parts.registry.countOn(choice.instance.name) >= (pool?.limit ?? 0) - reservedConnections ? {kind: 'wait'} : choice;
+				return choice.kind === 'send' && this.dependencies.registry.countTransactionsOn(choice.instance.name) >= (pool?.limit ?? 0) - reservedConnections ? {kind: 'wait'} : choice;
 			},
 		});
 		if (slot.isLeft()) {
@@ -66,15 +66,15 @@
 			return allowed;
 		}
 
-		const transaction = this.parts.registry.addTransaction({
-			id: `${this.parts.idPrefix}#${this.parts.createId()}`, caller, group, slot: slot.unsafeCoerce(), term: group.state.term,
+		const transaction = this.dependencies.registry.addTransaction({
+			id: `${this.dependencies.idPrefix}#${this.dependencies.createId()}`, caller, group, placement: slot.unsafeCoerce(), term: group.state.term,
 		});
-		return this.#open(transaction, context);
+		return this.#executeBegin(transaction, context);
 	}
 
 	/** Runs a statement inside a transaction. */
-	async runStatement(request: StatementRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
-		const route = this.parts.configuration.current.getRoute(request.route);
+	async runStatement(request: StatementRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
+		const route = this.dependencies.configuration.current.getRoute(request.route);
 		const found = this.#findTransaction(request.transaction, context);
 		if (found.isLeft()) {
 			return found;
@@ -86,19 +86,19 @@
 		}
 
 		transaction.isBusy = true;
-		const admitted = await this.parts.requests.admit(transaction.caller, context);
-		const allowed = admitted.chain(() => this.parts.gate.checkIdentity(transaction.caller));
+		const admitted = await this.dependencies.requests.admitRequest(transaction.caller, context);
+		const allowed = admitted.chain(() => this.dependencies.gate.checkIdentity(transaction.caller));
 		if (allowed.isLeft()) {
-			this.parts.registry.touch(transaction);
+			this.dependencies.registry.setIdle(transaction);
 			return allowed;
 		}
 
-		return this.#runRoute(transaction, route, request, context);
+		return this.#executeStatement(transaction, route, request, context);
 	}
 
 	/** Commits a transaction and waits until a replica holds it. */
-	async commit(id: string, sessionToken: string, context: RequestContext): Promise<Either<RunRefusal, RunResult>> {
-		const {sessions} = this.parts;
+	async commitTransaction(id: string, sessionToken: string, context: RequestContext): Promise<Either<RunRefusal, RunResult>> {
+		const {sessions} = this.dependencies;
 		const found = this.#findTransaction(id, context);
 		if (found.isLeft()) {
 			return found.mapLeft(refusal => ({refusal, session: ''}));
@@ -113,8 +113,8 @@
 
 		const session = parsed.unsafeCoerce();
 		transaction.isBusy = true;
-		const committed = await this.#commitAndConfirm(transaction, context);
-		this.parts.registry.removeTransaction(transaction, committed.isRight());
+		const committed = await this.#executeCommit(transaction, context);
+		this.dependencies.registry.removeTransaction(transaction, committed.isRight());
 		return committed.bimap(
 			refusal => {
 				if (refusal.hasNotRun) {
@@ -124,15 +124,15 @@
 				session.observeUnknownWrite(transaction.groupName);
 				return {refusal, session: sessions.formatToken(session, account)};
 			},
-			answer => {
-				session.observePosition(transaction.groupName, answer.position, true);
-				return {answer, session: sessions.formatToken(session, account)};
+			response => {
+				session.observePosition(transaction.groupName, response.position, true);
+				return {response, session: sessions.formatToken(session, account)};
 			},
 		);
 	}
 
 	/** Rolls a transaction back. */
-	async rollBack(id: string, context: RequestContext): Promise<Either<Refusal, void>> {
+	async rollBackTransaction(id: string, context: RequestContext): Promise<Either<Refusal, void>> {
 		const found = this.#findTransaction(id, context);
 		if (found.isLeft()) {
 			return found;
@@ -141,26 +141,26 @@
 		const transaction = found.unsafeCoerce();
 		transaction.isBusy = true;
 		const ended = await this.#execute(transaction, create(ExecuteRequestSchema, {step: Step.ROLL_BACK}), context);
-		this.parts.registry.removeTransaction(transaction, ended.map(response => response.outcome === Outcome.DONE).orDefault(false));
+		this.dependencies.registry.removeTransaction(transaction, ended.map(response => response.outcome === Outcome.DONE).orDefault(false));
 		return Right(undefined);
 	}
 
-	async #open(transaction: Transaction, context: RequestContext): Promise<Either<Refusal, string>> {
-		const {registry} = this.parts;
+	async #executeBegin(transaction: Transaction, context: RequestContext): Promise<Either<Refusal, string>> {
+		const {registry} = this.dependencies;
 		transaction.isBusy = true;
 		const begun = await this.#execute(transaction, create(ExecuteRequestSchema, {step: Step.BEGIN, term: BigInt(transaction.term)}), context);
 		if (begun.map(response => response.outcome === Outcome.DONE).orDefault(false)) {
-			registry.touch(transaction);
+			registry.setIdle(transaction);
 			return Right(transaction.id);
 		}
 
 		registry.removeTransaction(transaction, false);
-		transaction.group.observeFailure(transaction.slot.instance);
+		transaction.group.observeFailure(transaction.placement.instance);
 		return Left(refusals.noPrimary(transaction.groupName));
 	}
 
 	#findTransaction(id: string, context: RequestContext): Either<Refusal, Transaction> {
-		const {gate, registry} = this.parts;
+		const {gate, registry} = this.dependencies;
 		return gate.identifyCaller(context.authorization, false).chain(caller => {
 			const transaction = registry.getTransaction(id);
 			if (transaction === undefined) {
@@ -185,8 +185,8 @@
 		});
 	}
 
-	async #runRoute(transaction: Transaction, route: Route, request: StatementRequest, context: RequestContext): Promise<Either<Refusal, Answer>> {
-		const {registry} = this.parts;
+	async #executeStatement(transaction: Transaction, route: Route, request: StatementRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
+		const {registry} = this.dependencies;
 		const response = await this.#execute(transaction, create(ExecuteRequestSchema, {
 			statement: route.statement,
 			parameters: request.parameters,
@@ -196,8 +196,8 @@
 		}), context);
 		const isDone = response.map(answer => answer.outcome === Outcome.DONE).orDefault(false);
 		if (isDone) {
-			registry.touch(transaction);
-			return Right(parseAnswer(response.unsafeCoerce(), true));
+			registry.setIdle(transaction);
+			return Right(parseEndpointResponse(response.unsafeCoerce(), true));
 		}
 
 		// Nothing of a transaction lasts before its commit, so that closing the connection undoes it whole.
@@ -205,7 +205,7 @@
 		return Left(refusals.transactionLost(transaction.id));
 	}
 
-	async #commitAndConfirm(transaction: Transaction, context: RequestContext): Promise<Either<Refusal, Answer>> {
+	async #executeCommit(transaction: Transaction, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
 		const recordId = context.idempotencyKey === '' ? '' : getRecordId(transaction.caller.account, context.idempotencyKey);
 		const response = await this.#execute(transaction, create(ExecuteRequestSchema, {
 			step: Step.COMMIT, term: BigInt(transaction.term), recordId, bodyHash: hashBody(transaction.id, {}),
@@ -221,18 +221,18 @@
 		}
 
 		const position = parsePosition(answer.position);
-		const confirmation = this.parts.acknowledge === 'at-once' ? 'confirmed' : await transaction.group.confirmer.confirm(position, transaction.term, context.deadline);
-		return confirmation === 'confirmed' ? Right(parseAnswer(answer, true)) : Left(refusals.outcomeUnknown('no replica confirmed the commit'));
+		const confirmation = this.dependencies.acknowledge === 'at-once' ? 'confirmed' : await transaction.group.confirmer.waitForConfirmation(position, transaction.term, context.deadline);
+		return confirmation === 'confirmed' ? Right(parseEndpointResponse(answer, true)) : Left(refusals.outcomeUnknown('no replica confirmed the commit'));
 	}
 
 	async #execute(transaction: Transaction, request: ExecuteRequest, context: RequestContext): Promise<Either<EndpointFailure, ExecuteResponse>> {
-		const {clock, tracing} = this.parts;
+		const {clock, tracing} = this.dependencies;
 		if (isTransactionLost(transaction)) {
 			return Left({stage: 'unsent', message: 'the connection was lost'});
 		}
 
-		request.requestId = this.parts.createId();
-		return tracing.runInSpan('endpoint execute', context.trace, async own => transaction.slot.connection.execute(request, {
+		request.requestId = this.dependencies.createId();
+		return tracing.runInSpan('endpoint execute', context.trace, async own => transaction.placement.connection.execute(request, {
 			timeoutMs: context.deadline - clock.getNow(), traceparent: tracing.formatTraceparent(own),
 		}));
 	}
--- a/packages/proxy/src/transactions/transaction.ts
+++ b/packages/proxy/src/transactions/transaction.ts
@@ -1,5 +1,5 @@
 import {type CallerIdentity} from '../access/index.js';
-import {type Group, type Slot} from '../groups/index.js';
+import {type Group, type Placement} from '../groups/index.js';
 
 /** An open transaction; it owns its connection until it ends. */
 export type Transaction = {
@@ -8,18 +8,18 @@
 	caller: CallerIdentity;
 	readonly group: Group;
 	readonly groupName: string;
-	readonly slot: Slot;
+	readonly placement: Placement;
 	/** Term of the primary that it runs on. */
 	readonly term: number;
 	/** How often the connection had been lost when the transaction began. */
 	readonly lossesAtBegin: number;
-	readonly openUntil: number;
-	idleUntil: number;
+	readonly expiresAt: number;
+	idleExpiresAt: number;
 	/** Whether a statement is running. */
 	isBusy: boolean;
 };
 
 /** Says whether the connection that a transaction lives on is gone. */
 export function isTransactionLost(transaction: Transaction): boolean {
-	return transaction.slot.connection.losses !== transaction.lossesAtBegin;
+	return transaction.placement.connection.losses !== transaction.lossesAtBegin;
 }
--- a/packages/proxy/src/wiring/container.ts
+++ b/packages/proxy/src/wiring/container.ts
@@ -12,7 +12,7 @@
 import {
 	type Clock, Logger, Metrics, systemClock, Tracing,
 } from '../observability/index.js';
-import {ClaimRegistry, type RequestParts, RequestRunner} from '../requests/index.js';
+import {ClaimRegistry, type RequestDependencies, RequestRunner} from '../requests/index.js';
 import {CallerHandlers} from '../services/index.js';
 import {SessionTokenCodec} from '../sessions/index.js';
 import {type Settings} from '../settings/index.js';
@@ -28,7 +28,7 @@
 export const partNames = {
 	settings: Symbol('settings') as ServiceIdentifier<Settings>,
 	clock: Symbol('clock') as ServiceIdentifier<Clock>,
-	requestParts: Symbol('request parts') as ServiceIdentifier<RequestParts>,
+	requestParts: Symbol('request parts') as ServiceIdentifier<RequestDependencies>,
 } as const;
 
 /**
@@ -142,7 +142,7 @@
 	}).inSingletonScope();
 	container.bind(RequestRunner).toDynamicValue(context => new RequestRunner(context.get(partNames.requestParts))).inSingletonScope();
 	container.bind(TransactionRegistry).toDynamicValue(context => new TransactionRegistry({
-		idleMs: settings.timeouts.transaction_idle_ms, totalMs: settings.timeouts.transaction_total_ms,
+		idleTimeoutMs: settings.timeouts.transaction_idle_ms, totalTimeoutMs: settings.timeouts.transaction_total_ms,
 	}, context.get(partNames.clock))).inSingletonScope();
 	container.bind(TransactionRunner).toDynamicValue(context => new TransactionRunner({
 		...context.get(partNames.requestParts),
--- a/packages/proxy/src/wiring/proxy.ts
+++ b/packages/proxy/src/wiring/proxy.ts
@@ -66,7 +66,7 @@
 	/** Whether new requests are welcome. */
 	isReady(): boolean {
 		const hasAllocator = this.settings.policy.limits !== 'product' || this.#get(LeaseRegistry).isEveryLeaseHeld(this.#container.get(partNames.clock).getNow());
-		return !this.#get(Membership).isDraining && hasAllocator && this.#get(AccessGate).checkIdentity({account: '', keyHash: ''}).isRight() && this.#get(ConfigurationReplica).version > 0 && this.#get(GroupRegistry).isExamined;
+		return !this.#get(Membership).isDraining && hasAllocator && this.#get(AccessGate).checkIdentity({account: '', keyHash: ''}).isRight() && this.#get(ConfigurationReplica).version > 0 && this.#get(GroupRegistry).areAllInstancesProbed;
 	}
 
 	/** Becomes unready, finishes what is in flight, gives shares back and closes. */
@@ -149,7 +149,7 @@
 		}
 
 		metrics.addGauge('transactions.open', () => this.#get(TransactionRegistry).size);
-		metrics.addGauge('queue.waiting', () => this.#get(GroupRegistry).getGroups().reduce((sum, group) => sum + group.dispatcher.waiting, 0));
+		metrics.addGauge('queue.waiting', () => this.#get(GroupRegistry).getGroups().reduce((sum, group) => sum + group.dispatcher.waitingCount, 0));
 	}
 
 	#startTasks(): void {
@@ -160,11 +160,11 @@
 		const gate = this.#get(AccessGate);
 		const registry = this.#get(TransactionRegistry);
 		const configureGroups = () => {
-			groups.configure(configuration.current, membership.getVms(), membership.countEndpointSharers(configuration.current.getVoterNames()));
+			groups.applyConfiguration(configuration.current, membership.getVms(), membership.countEndpointSharers(configuration.current.getVoterNames()));
 		};
 
 		const sweep = () => {
-			registry.sweep(caller => gate.checkIdentity(caller).isRight());
+			registry.removeInvalid(caller => gate.checkIdentity(caller).isRight());
 		};
 
 		configuration.addListener(rows => {
@@ -191,7 +191,7 @@
 		this.#repeat('tick', pauses.tick, () => {
 			void this.#get(LeaseRegistry).renewOrSeek();
 			void this.#get(AccountLimiter).reportDemand();
-			groups.advance();
+			groups.checkGroups();
 			exchange.pollWatchersOfSuspectedGroups();
 		});
 		this.#repeat('sweep', pauses.sweep, sweep);
