--- a/packages/proxy/src/access/access-gate.ts
+++ b/packages/proxy/src/access/caller-authenticator.ts
@@ -11,7 +11,7 @@
 };
 
 /** Account that requests without a key on open routes are counted under. */
-export const openAccount = 'open';
+export const anonymousAccount = 'open';
 
 /** Returns the hash under which a key is stored. */
 export function hashKey(key: string): string {
@@ -30,7 +30,7 @@
 }
 
 /** What the gate asks of the state of this VM. */
-export type GateState = {
+export type AuthenticationState = {
 	readonly configuration: Configuration;
 	/** Whether the configuration may be used now. */
 	isFresh(): boolean;
@@ -38,22 +38,22 @@
 };
 
 /** Lets requests through for the account whose key came with them, while the view of the keys is fresh. */
-export class AccessGate {
-	constructor(private readonly state: GateState) {}
+export class CallerAuthenticator {
+	constructor(private readonly state: AuthenticationState) {}
 
 	/**
 	 * Identifies the sender of a request.
 	 * @param authorization - The Authorization header.
-	 * @param isOpen - Whether the route is open to all.
+	 * @param isAnonymousAllowed - Whether the route is open to all.
 	 */
-	identifyCaller(authorization: string, isOpen: boolean): Either<Refusal, CallerIdentity> {
+	authenticateCaller(authorization: string, isAnonymousAllowed: boolean): Either<Refusal, CallerIdentity> {
 		if (!this.state.isFresh()) {
 			return Left(refusals.staleView(this.state.getAgeMs()));
 		}
 
 		const key = getBearerToken(authorization);
 		if (key === undefined || key === '') {
-			return isOpen ? Right({account: openAccount, keyHash: ''}) : Left(refusals.missingKey());
+			return isAnonymousAllowed ? Right({account: anonymousAccount, keyHash: ''}) : Left(refusals.missingKey());
 		}
 
 		const identity = {account: '', keyHash: hashKey(key)};
--- a/packages/proxy/src/access/index.ts
+++ b/packages/proxy/src/access/index.ts
@@ -1,1 +1,1 @@
-export * from './access-gate.js';
+export * from './caller-authenticator.js';
--- a/packages/proxy/src/endpoints/endpoint-port.ts
+++ b/packages/proxy/src/endpoints/endpoint-port.ts
@@ -24,7 +24,7 @@
 	fence(request: FenceRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>>;
 	promote(request: PromoteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>>;
 	/** Number of times that the connection has been lost. */
-	readonly losses: number;
+	readonly disconnectCount: number;
 	/** Closes the connection at once, with whatever runs on it. */
 	close(): void;
 };
--- a/packages/proxy/src/endpoints/endpoint-connection.ts
+++ b/packages/proxy/src/endpoints/http-endpoint-connection.ts
@@ -13,7 +13,7 @@
 
 const servicePath = '/chicorysaddle.endpoint.v1.EndpointService';
 /** An idle connection stays open this long, in milliseconds. */
-const keepAliveMs = 600_000;
+const idleTimeoutMs = 600_000;
 
 /** Options of connections to endpoints. */
 export type EndpointConnectionOptions = {
@@ -22,13 +22,13 @@
 	readonly sourceAddress?: string | undefined;
 };
 
-type Call<Request extends DescMessage, Response extends DescMessage> = {
+type EndpointMethod<Request extends DescMessage, Response extends DescMessage> = {
 	readonly method: string;
 	readonly request: Request;
 	readonly response: Response;
 };
 
-const calls = {
+const endpointMethods = {
 	execute: {method: 'Execute', request: ExecuteRequestSchema, response: ExecuteResponseSchema},
 	probe: {method: 'Probe', request: ProbeRequestSchema, response: InstanceStatusSchema},
 	fence: {method: 'Fence', request: FenceRequestSchema, response: FenceResponseSchema},
@@ -36,8 +36,8 @@
 } as const;
 
 /** One connection that speaks the unary Connect protocol, one request at a time. */
-export class EndpointConnection implements EndpointConnectionPort {
-	#losses = 0;
+export class HttpEndpointConnection implements EndpointConnectionPort {
+	#disconnectCount = 0;
 	#isClosed = false;
 	#client: Client;
 
@@ -45,12 +45,12 @@
 		this.#client = this.#createClient();
 	}
 
-	get losses(): number {
-		return this.#losses;
+	get disconnectCount(): number {
+		return this.#disconnectCount;
 	}
 
 	async execute(request: ExecuteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, ExecuteResponse>> {
-		const response = await this.#send(calls.execute, request, options);
+		const response = await this.#send(endpointMethods.execute, request, options);
 		return response.chain(answer => {
 			if (answer.requestId === request.requestId) {
 				return Right(answer);
@@ -63,15 +63,15 @@
 	}
 
 	async probe(request: ProbeRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, InstanceStatus>> {
-		return this.#send(calls.probe, request, options);
+		return this.#send(endpointMethods.probe, request, options);
 	}
 
 	async fence(request: FenceRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>> {
-		return this.#send(calls.fence, request, options);
+		return this.#send(endpointMethods.fence, request, options);
 	}
 
 	async promote(request: PromoteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>> {
-		return this.#send(calls.promote, request, options);
+		return this.#send(endpointMethods.promote, request, options);
 	}
 
 	close(): void {
@@ -84,7 +84,7 @@
 		this.#client.removeAllListeners('disconnect');
 		this.#client.destroy().catch(() => undefined);
 		if (!this.#isClosed) {
-			this.#losses += 1;
+			this.#disconnectCount += 1;
 			this.#client = this.#createClient();
 		}
 	}
@@ -94,18 +94,18 @@
 		const client = new Client(`http://${this.address}`, {
 			pipelining: 1,
 			connect: {timeout: connectTimeoutMs, ...(sourceAddress === undefined ? {} : {localAddress: sourceAddress})},
-			keepAliveTimeout: keepAliveMs,
-			keepAliveMaxTimeout: keepAliveMs,
+			keepAliveTimeout: idleTimeoutMs,
+			keepAliveMaxTimeout: idleTimeoutMs,
 			headersTimeout: 0,
 			bodyTimeout: 0,
 		});
 		client.on('disconnect', () => {
-			this.#losses += 1;
+			this.#disconnectCount += 1;
 		});
 		return client;
 	}
 
-	async #send<Request extends DescMessage, Response extends DescMessage>(call: Call<Request, Response>, request: MessageShape<Request>, options: EndpointCallOptions): Promise<Either<EndpointFailure, MessageShape<Response>>> {
+	async #send<Request extends DescMessage, Response extends DescMessage>(call: EndpointMethod<Request, Response>, request: MessageShape<Request>, options: EndpointCallOptions): Promise<Either<EndpointFailure, MessageShape<Response>>> {
 		if (options.timeoutMs <= 0 || this.#isClosed) {
 			return Left({stage: 'unsent', message: this.#isClosed ? 'the connection is closed' : 'no time left'});
 		}
@@ -125,20 +125,20 @@
 				? Right(fromBinary(call.response, body))
 				: Left({stage: 'unanswered', message: `status ${response.statusCode}`});
 		} catch (error) {
-			return Left(describeFailure(error));
+			return Left(createEndpointFailure(error));
 		} finally {
 			clearTimeout(timer);
 		}
 	}
 }
 
-const unsentCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
+const unsentErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
 /** A request whose connection was never established was not sent; one whose connection was broken here may have been. */
-function describeFailure(error: unknown): EndpointFailure {
+function createEndpointFailure(error: unknown): EndpointFailure {
 	const message = error instanceof Error ? error.message : String(error);
 	const code = error instanceof Error && 'code' in error ? String(error.code) : '';
-	const isUnsent = unsentCodes.has(code)
+	const isUnsent = unsentErrorCodes.has(code)
 		|| error instanceof errors.ConnectTimeoutError;
 	return {stage: isUnsent ? 'unsent' : 'unanswered', message};
 }
@@ -147,7 +147,7 @@
 export class HttpEndpointConnector implements EndpointConnector {
 	constructor(private readonly options: EndpointConnectionOptions) {}
 
-	openConnection(address: string): EndpointConnection {
-		return new EndpointConnection(address, this.options);
+	openConnection(address: string): HttpEndpointConnection {
+		return new HttpEndpointConnection(address, this.options);
 	}
 }
--- a/packages/proxy/src/endpoints/index.ts
+++ b/packages/proxy/src/endpoints/index.ts
@@ -1,4 +1,4 @@
 export type * from './endpoint-port.js';
-export * from './endpoint-connection.js';
-export * from './endpoint-pool.js';
+export * from './http-endpoint-connection.js';
+export * from './endpoint-connection-pool.js';
 export * from './instance-report.js';
--- a/packages/proxy/src/endpoints/instance-report.ts
+++ b/packages/proxy/src/endpoints/instance-report.ts
@@ -13,7 +13,7 @@
 }
 
 /** Reads an instance's status off the wire. */
-export function parseStatus(status: InstanceStatus): InstanceReport {
+export function parseInstanceStatus(status: InstanceStatus): InstanceReport {
 	return {
 		term: Number(status.term),
 		promoter: status.promoter,
--- a/packages/proxy/src/groups/dispatcher.ts
+++ b/packages/proxy/src/groups/dispatcher.ts
@@ -4,7 +4,7 @@
 } from '@chicorysaddle/decisions';
 import {type Refusal, refusals} from '@chicorysaddle/model';
 import {type Clock} from '../observability/index.js';
-import {type EndpointConnectionPort, type EndpointPool} from '../endpoints/index.js';
+import {type EndpointConnectionPort, type EndpointConnectionPool} from '../endpoints/index.js';
 
 /** A connection to an instance, held for one request. */
 export type Placement = {
@@ -39,7 +39,7 @@
 	readonly #queue: FairQueue<Waiter>;
 	#sweepTimer: NodeJS.Timeout | undefined;
 
-	constructor(private readonly group: GroupState, private readonly getPool: (instance: string) => EndpointPool | undefined, private readonly clock: Clock, policy: QueuePolicy) {
+	constructor(private readonly group: GroupState, private readonly getPool: (instance: string) => EndpointConnectionPool | undefined, private readonly clock: Clock, policy: QueuePolicy) {
 		this.#queue = new FairQueue(policy);
 	}
 
@@ -120,17 +120,17 @@
 		}
 
 		const pool = this.getPool(choice.instance.name);
-		const connection = pool?.takeConnection();
+		const connection = pool?.acquireConnection();
 		return pool === undefined || connection === undefined ? undefined : this.#createPlacement(choice.instance, pool, connection, choice.waitMs);
 	}
 
-	#createPlacement(instance: InstanceView, pool: EndpointPool, connection: EndpointConnectionPort, waitMs: number): Placement {
+	#createPlacement(instance: InstanceView, pool: EndpointConnectionPool, connection: EndpointConnectionPort, waitMs: number): Placement {
 		instance.inUse += 1;
 		return {
 			instance, connection, waitMs,
 			release: isClean => {
 				instance.inUse -= 1;
-				pool.returnConnection(connection, isClean);
+				pool.releaseConnection(connection, isClean);
 				this.placeWaiting();
 			},
 		};
--- a/packages/proxy/src/groups/group.ts
+++ b/packages/proxy/src/groups/group.ts
@@ -6,7 +6,7 @@
 import {ProbeRequestSchema} from '@chicorysaddle/protocol';
 import {type Clock} from '../observability/index.js';
 import {
-	EndpointPool, type EndpointConnector, getConnectionShare, parseStatus,
+	EndpointConnectionPool, type EndpointConnector, getMaxConnectionsPerVm, parseInstanceStatus,
 } from '../endpoints/index.js';
 import {Dispatcher} from './dispatcher.js';
 import {WriteConfirmer} from './write-confirmer.js';
@@ -33,7 +33,7 @@
 	readonly dispatcher: Dispatcher;
 	/** Whether this VM is one of those that watch the group closely. */
 	isMonitored = false;
-	readonly #pools = new Map<string, EndpointPool>();
+	readonly #pools = new Map<string, EndpointConnectionPool>();
 	readonly #lastResponseAt = new Map<string, number>();
 	readonly #lastProbeAt = new Map<string, number>();
 	readonly #probedInstances = new Set<string>();
@@ -45,7 +45,7 @@
 		this.dispatcher = new Dispatcher(this.state, instance => this.#pools.get(instance), clock, queuePolicy);
 	}
 
-	getPool(instance: string): EndpointPool | undefined {
+	getPool(instance: string): EndpointConnectionPool | undefined {
 		return this.#pools.get(instance);
 	}
 
@@ -116,7 +116,7 @@
 				instance.observeUnreachable(sentAt);
 			},
 			Right: answer => {
-				instance.observeReport(parseStatus(answer), sentAt);
+				instance.observeReport(parseInstanceStatus(answer), sentAt);
 				this.#updatePrimary(instance);
 			},
 		});
@@ -162,11 +162,11 @@
 			known.close();
 		}
 
-		const pool = known?.address === endpoint.address ? known : new EndpointPool(endpoint.address, this.connector);
+		const pool = known?.address === endpoint.address ? known : new EndpointConnectionPool(endpoint.address, this.connector);
 		this.#pools.set(endpoint.name, pool);
 		instance.isLeaving = endpoint.state === 'leaving';
-		pool.setShare(getConnectionShare(endpoint.connections, vms));
-		instance.limit = Math.min(pool.limit, endpoint.slots);
+		pool.setMaxConnections(getMaxConnectionsPerVm(endpoint.connections, vms));
+		instance.limit = Math.min(pool.maxRequestConnections, endpoint.slots);
 		if (!instance.isLeaving) {
 			void pool.warmConnections(async connection => connection.probe(create(ProbeRequestSchema), {timeoutMs: probeTimeoutMs}));
 		}
--- a/packages/proxy/src/groups/write-confirmer.ts
+++ b/packages/proxy/src/groups/write-confirmer.ts
@@ -3,7 +3,7 @@
 import {type GroupState} from '@chicorysaddle/decisions';
 import {ProbeRequestSchema} from '@chicorysaddle/protocol';
 import {type Clock} from '../observability/index.js';
-import {type EndpointConnectionPort, formatPosition, parseStatus} from '../endpoints/index.js';
+import {type EndpointConnectionPort, formatPosition, parseInstanceStatus} from '../endpoints/index.js';
 
 /** Whether a write is held by a replica in the term it was written in. */
 export type Confirmation = 'confirmed' | 'unconfirmed' | 'timed-out';
@@ -98,7 +98,7 @@
 		const request = create(ProbeRequestSchema, first === undefined ? {} : {atLeast: formatPosition(first), maxWaitMs: maxProbeWaitMs});
 		const status = await control.probe(request, {timeoutMs: maxProbeWaitMs * 2});
 		status.ifRight(answer => {
-			view.observeReport(parseStatus(answer), sentAt);
+			view.observeReport(parseInstanceStatus(answer), sentAt);
 		});
 		return status.isRight();
 	}
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -3,18 +3,18 @@
 import {formatSettingsReference, loadSettings, type Settings} from './settings/index.js';
 import {Proxy} from './wiring/index.js';
 
-const exitCodes = {done: 0, badSettings: 2} as const;
+const exitCodes = {success: 0, invalidSettings: 2} as const;
 
 async function runProxy(settings: Settings): Promise<void> {
 	const proxy = await Proxy.start(settings);
-	const stop = () => {
+	const drainAndExit = () => {
 		void proxy.drain().then(() => {
-			process.exit(exitCodes.done);
+			process.exit(exitCodes.success);
 		});
 	};
 
-	process.once('SIGTERM', stop);
-	process.once('SIGINT', stop);
+	process.once('SIGTERM', drainAndExit);
+	process.once('SIGINT', drainAndExit);
 }
 
 sade('chicorysaddled [settings]', true)
@@ -32,14 +32,14 @@
 
 		if (file === undefined) {
 			process.stderr.write('a file of settings is needed; see --help\n');
-			process.exit(exitCodes.badSettings);
+			process.exit(exitCodes.invalidSettings);
 		}
 
 		const settings = await loadSettings(file);
 		await settings.caseOf({
 			async Left(errors) {
 				process.stderr.write(`${errors.join('\n')}\n`);
-				process.exit(exitCodes.badSettings);
+				process.exit(exitCodes.invalidSettings);
 			},
 			async Right(checked) {
 				if (options.check) {
--- a/packages/proxy/src/observability/metrics.ts
+++ b/packages/proxy/src/observability/metrics.ts
@@ -5,7 +5,7 @@
 
 const hops: readonly Hop[] = ['request', 'admission', 'queue', 'endpoint', 'confirm', 'forward'];
 const microsecondsPerMs = 1000;
-const quantiles = [50, 90, 99, 99.9] as const;
+const percentiles = [50, 90, 99, 99.9] as const;
 
 /** Counts and durations of one proxy. */
 export class Metrics {
@@ -43,14 +43,14 @@
 	}
 
 	/** Writes everything in the Prometheus text format. */
-	formatText(): string {
+	formatPrometheusText(): string {
 		const lines: string[] = [];
 		for (const [name, value] of Object.entries(this.getValues())) {
 			lines.push(`chicorysaddle_${name.replaceAll(/\W/gv, '_')} ${value}`);
 		}
 
 		for (const [hop, histogram] of this.#histograms) {
-			for (const quantile of quantiles) {
+			for (const quantile of percentiles) {
 				lines.push(`chicorysaddle_hop_duration_ms{hop="${hop}",quantile="${quantile / 100}"} ${histogram.getValueAtPercentile(quantile) / microsecondsPerMs}`);
 			}
 
--- a/packages/proxy/src/observability/repeat.ts
+++ b/packages/proxy/src/observability/repeated-task.ts
@@ -7,11 +7,11 @@
 
 	/**
 	 * @param name - Name for the log.
-	 * @param getPauseMs - Returns the pause before the next run.
+	 * @param getDelayMs - Returns the pause before the next run.
 	 * @param task - What to do.
 	 * @param logger - Where failures go.
 	 */
-	constructor(private readonly name: string, private readonly getPauseMs: () => number, private readonly task: () => Promise<void> | void, private readonly logger: Logger) {}
+	constructor(private readonly name: string, private readonly getDelayMs: () => number, private readonly task: () => Promise<void> | void, private readonly logger: Logger) {}
 
 	/** Runs the task at once and then after every pause. */
 	start(): void {
@@ -33,7 +33,7 @@
 		if (!this.#isStopped) {
 			this.#timer = setTimeout(() => {
 				void this.#run();
-			}, this.getPauseMs());
+			}, this.getDelayMs());
 		}
 	}
 }
--- a/packages/proxy/src/observability/tracing.ts
+++ b/packages/proxy/src/observability/tracing.ts
@@ -36,7 +36,7 @@
 	}
 
 	/** Reads the trace that a request belongs to. */
-	readContext(traceparent: string | undefined): Context {
+	parseTraceparent(traceparent: string | undefined): Context {
 		return traceparent === undefined ? ROOT_CONTEXT : propagator.extract(ROOT_CONTEXT, {traceparent}, headerGetter);
 	}
 
--- a/packages/proxy/src/requests/read-runner.ts
+++ b/packages/proxy/src/requests/read-runner.ts
@@ -33,7 +33,7 @@
 
 	/** Runs a read, moving on to another instance when one fails. */
 	async runRead(read: ReadRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
-		const {gate, clock, retryBudget} = this.dependencies;
+		const {authenticator: gate, clock, retryBudget} = this.dependencies;
 		const tried = new Set<string>();
 		for (let attempt = 0; ; attempt += 1) {
 			const slot = await this.#acquirePlacement(read, context, tried);
--- a/packages/proxy/src/requests/request-dependencies.ts
+++ b/packages/proxy/src/requests/request-dependencies.ts
@@ -1,5 +1,5 @@
 import {type RetryBudget, type ReadRouter} from '@chicorysaddle/decisions';
-import {type AccessGate} from '../access/index.js';
+import {type CallerAuthenticator} from '../access/index.js';
 import {type ConfigurationReplica} from '../configuration/index.js';
 import {type GroupRegistry} from '../groups/index.js';
 import {type AccountLimiter} from '../limits/index.js';
@@ -12,7 +12,7 @@
 
 /** Parts that serve requests. */
 export type RequestDependencies = {
-	readonly gate: AccessGate;
+	readonly authenticator: CallerAuthenticator;
 	readonly configuration: ConfigurationReplica;
 	readonly groups: GroupRegistry;
 	readonly limiter: AccountLimiter;
--- a/packages/proxy/src/requests/request-runner.ts
+++ b/packages/proxy/src/requests/request-runner.ts
@@ -78,9 +78,9 @@
 	}
 
 	#validateRequest(request: RouteRequest, context: RequestContext): Either<Refusal, ValidRequest> {
-		const {configuration, gate, groups, sessions} = this.dependencies;
+		const {configuration, authenticator: gate, groups, sessions} = this.dependencies;
 		const route = configuration.current.getRoute(request.route);
-		const identified = gate.identifyCaller(context.authorization, route?.open ?? false);
+		const identified = gate.authenticateCaller(context.authorization, route?.open ?? false);
 		return identified.chain(caller => {
 			const group = route && groups.getGroup(route.group);
 			if (route === undefined || group === undefined) {
--- a/packages/proxy/src/requests/write-runner.ts
+++ b/packages/proxy/src/requests/write-runner.ts
@@ -75,7 +75,7 @@
 	}
 
 	async #executeWrite(write: WriteRequest, slot: Placement, context: RequestContext): Promise<AttemptResult> {
-		const {gate, clock, metrics, tracing} = this.dependencies;
+		const {authenticator: gate, clock, metrics, tracing} = this.dependencies;
 		const allowed = gate.checkIdentity(write.caller);
 		if (allowed.isLeft()) {
 			slot.release(true);
--- a/packages/proxy/src/server/caller-server.ts
+++ b/packages/proxy/src/server/caller-server.ts
@@ -6,7 +6,7 @@
 /** Options of the caller port. */
 export type CallerServerOptions = {
 	readonly maxBodyBytes: number;
-	readonly longestDeadlineMs: number;
+	readonly maxDeadlineMs: number;
 	/** Whether connections are to be closed after their next answer. */
 	isDraining(): boolean;
 };
@@ -14,7 +14,7 @@
 /** Serves the caller service on the caller ports. */
 export function serveCallers(listeners: Listeners, routes: (router: ConnectRouter) => void, options: CallerServerOptions): void {
 	const adapter = connectNodeAdapter({
-		routes, readMaxBytes: options.maxBodyBytes, writeMaxBytes: options.maxBodyBytes * 64, maxTimeoutMs: options.longestDeadlineMs * 10,
+		routes, readMaxBytes: options.maxBodyBytes, writeMaxBytes: options.maxBodyBytes * 64, maxTimeoutMs: options.maxDeadlineMs * 10,
 	});
 	listeners.setCallerListener((request: IncomingMessage, response: ServerResponse) => {
 		if (options.isDraining()) {
--- a/packages/proxy/src/server/health.ts
+++ b/packages/proxy/src/server/health.ts
@@ -8,7 +8,7 @@
 	readonly metrics: Metrics;
 };
 
-type Page = {readonly status: number; readonly type: string; readonly body: string};
+type HealthPage = {readonly status: number; readonly type: string; readonly body: string};
 
 /**
  * Returns a listener that answers liveness, readiness and metrics, and leaves other paths to another.
@@ -16,10 +16,10 @@
  * @param next - Listener for the other paths.
  */
 export function createHealthListener(state: HealthState, next: RequestListener): RequestListener {
-	const pages: Readonly<Record<string, () => Page>> = {
+	const pages: Readonly<Record<string, () => HealthPage>> = {
 		'/livez': () => ({status: 200, type: 'text/plain', body: 'live\n'}),
 		'/readyz': () => (state.isReady() ? {status: 200, type: 'text/plain', body: 'ready\n'} : {status: 503, type: 'text/plain', body: 'not ready\n'}),
-		'/metrics': () => ({status: 200, type: 'text/plain; version=0.0.4', body: state.metrics.formatText()}),
+		'/metrics': () => ({status: 200, type: 'text/plain; version=0.0.4', body: state.metrics.formatPrometheusText()}),
 	};
 	return (request, response) => {
 		const page = pages[request.url ?? ''];
--- a/packages/proxy/src/server/listeners.ts
+++ b/packages/proxy/src/server/listeners.ts
@@ -49,7 +49,7 @@
 	}
 
 	/** Binds the ports for peers and operators; callers come once the proxy is ready to serve. */
-	async open(): Promise<void> {
+	async openPorts(): Promise<void> {
 		const {ports, vm} = this.settings;
 		await listen(this.peer, ports.peer, vm.address);
 		await listen(this.operator, ports.operator, vm.address);
@@ -65,18 +65,18 @@
 	}
 
 	/** Stops taking callers and waits for the requests in flight. */
-	async closeCallers(limitMs: number): Promise<void> {
+	async closeCallerPorts(timeoutMs: number): Promise<void> {
 		const closed = [closeServer(this.caller), ...this.callerHttp2.listening ? [closeServer(this.callerHttp2)] : []];
 		this.caller.closeIdleConnections();
 		const limit = new Promise(resolve => {
-			setTimeout(resolve, limitMs).unref();
+			setTimeout(resolve, timeoutMs).unref();
 		});
 		await Promise.race([Promise.all(closed), limit]);
 		this.caller.closeAllConnections();
 	}
 
 	/** Closes the other ports. */
-	closeControl(): void {
+	closePeerAndOperatorPorts(): void {
 		this.peer.close();
 		for (const session of this.#peerSessions) {
 			session.destroy();
--- a/packages/proxy/src/services/caller-handlers.ts
+++ b/packages/proxy/src/services/caller-handlers.ts
@@ -19,7 +19,7 @@
 export type TransactionMethod = 'run' | 'commit' | 'roll-back';
 
 /** Parts that serve the methods of callers. */
-export type CallerHandlerParts = {
+export type CallerHandlerDependencies = {
 	readonly requests: RequestRunner;
 	readonly transactions: TransactionRunner;
 	readonly membership: Membership;
@@ -28,82 +28,82 @@
 	readonly tracing: Tracing;
 };
 
-type Outcome<T> = Promise<Either<RunRefusal, T>>;
+type HandlerResult<T> = Promise<Either<RunRefusal, T>>;
 
 /** The methods of the caller service; those of a transaction are forwarded to the VM that holds it. */
 export class CallerHandlers {
-	constructor(private readonly parts: CallerHandlerParts) {}
+	constructor(private readonly dependencies: CallerHandlerDependencies) {}
 
-	async run(request: RunRequest, context: RequestContext): Outcome<RunResponse> {
-		const result = await this.parts.requests.runRequest({
+	async run(request: RunRequest, context: RequestContext): HandlerResult<RunResponse> {
+		const result = await this.dependencies.requests.runRequest({
 			route: request.route, parameters: request.parameters, session: request.session, acceptedStalenessMs: request.acceptedStalenessMs,
 		}, context);
-		return result.map(({response: answer, session}) => formatAnswer(answer, session));
+		return result.map(({response: answer, session}) => createRunResponse(answer, session));
 	}
 
-	async begin(request: BeginRequest, context: RequestContext): Outcome<BeginResponse> {
-		const result = await this.parts.transactions.beginTransaction(request.group, context);
-		return result.bimap(withoutSession, transaction => create(BeginResponseSchema, {transaction}));
+	async begin(request: BeginRequest, context: RequestContext): HandlerResult<BeginResponse> {
+		const result = await this.dependencies.transactions.beginTransaction(request.group, context);
+		return result.bimap(createRunRefusal, transaction => create(BeginResponseSchema, {transaction}));
 	}
 
-	async runInTransaction(request: RunInTransactionRequest, context: RequestContext): Outcome<RunResponse> {
+	async runInTransaction(request: RunInTransactionRequest, context: RequestContext): HandlerResult<RunResponse> {
 		const body = toBinary(RunInTransactionRequestSchema, request);
-		const bytes = await this.#runAtHolder('run', request.transaction, body, context);
+		const bytes = await this.#runOnHolder('run', request.transaction, body, context);
 		return bytes.map(answer => fromBinary(RunResponseSchema, answer));
 	}
 
-	async commit(request: CommitRequest, context: RequestContext): Outcome<RunResponse> {
-		const bytes = await this.#runAtHolder('commit', request.transaction, toBinary(CommitRequestSchema, request), context);
+	async commit(request: CommitRequest, context: RequestContext): HandlerResult<RunResponse> {
+		const bytes = await this.#runOnHolder('commit', request.transaction, toBinary(CommitRequestSchema, request), context);
 		return bytes.map(answer => fromBinary(RunResponseSchema, answer));
 	}
 
-	async rollBack(request: RollBackRequest, context: RequestContext): Outcome<RollBackResponse> {
-		const bytes = await this.#runAtHolder('roll-back', request.transaction, toBinary(RollBackRequestSchema, request), context);
+	async rollBack(request: RollBackRequest, context: RequestContext): HandlerResult<RollBackResponse> {
+		const bytes = await this.#runOnHolder('roll-back', request.transaction, toBinary(RollBackRequestSchema, request), context);
 		return bytes.map(() => create(RollBackResponseSchema));
 	}
 
 	/** Runs a method of a transaction that this VM holds. */
-	async runLocally(method: TransactionMethod, body: Uint8Array, context: RequestContext): Outcome<Uint8Array> {
-		return this.#localMethods[method](body, context);
+	async runLocally(method: TransactionMethod, body: Uint8Array, context: RequestContext): HandlerResult<Uint8Array> {
+		return this.#transactionMethods[method](body, context);
 	}
 
-	readonly #localMethods: Readonly<Record<TransactionMethod, (body: Uint8Array, context: RequestContext) => Outcome<Uint8Array>>> = {
+	readonly #transactionMethods: Readonly<Record<TransactionMethod, (body: Uint8Array, context: RequestContext) => HandlerResult<Uint8Array>>> = {
 		run: async (body, context) => {
 			const request = fromBinary(RunInTransactionRequestSchema, body);
-			const result = await this.parts.transactions.runStatement(request, context);
-			return result.bimap(withoutSession, answer => toBinary(RunResponseSchema, formatAnswer(answer, '')));
+			const result = await this.dependencies.transactions.runStatement(request, context);
+			return result.bimap(createRunRefusal, answer => toBinary(RunResponseSchema, createRunResponse(answer, '')));
 		},
 		commit: async (body, context) => {
 			const request = fromBinary(CommitRequestSchema, body);
-			const result = await this.parts.transactions.commitTransaction(request.transaction, request.session, context);
-			return result.map(({response: answer, session}) => toBinary(RunResponseSchema, formatAnswer(answer, session)));
+			const result = await this.dependencies.transactions.commitTransaction(request.transaction, request.session, context);
+			return result.map(({response: answer, session}) => toBinary(RunResponseSchema, createRunResponse(answer, session)));
 		},
 		'roll-back': async (body, context) => {
 			const request = fromBinary(RollBackRequestSchema, body);
-			const result = await this.parts.transactions.rollBackTransaction(request.transaction, context);
-			return result.bimap(withoutSession, () => toBinary(RollBackResponseSchema, create(RollBackResponseSchema)));
+			const result = await this.dependencies.transactions.rollBackTransaction(request.transaction, context);
+			return result.bimap(createRunRefusal, () => toBinary(RollBackResponseSchema, create(RollBackResponseSchema)));
 		},
 	};
 
-	async #runAtHolder(method: TransactionMethod, transaction: string, body: Uint8Array, context: RequestContext): Outcome<Uint8Array> {
+	async #runOnHolder(method: TransactionMethod, transaction: string, body: Uint8Array, context: RequestContext): HandlerResult<Uint8Array> {
 		const [vm = '', incarnation = ''] = transaction.split('#');
-		const {membership} = this.parts;
+		const {membership} = this.dependencies;
 		if (vm === membership.self.name) {
 			return incarnation === membership.self.incarnation
 				? this.runLocally(method, body, context)
-				: Left(withoutSession(refusals.transactionLost(transaction)));
+				: Left(createRunRefusal(refusals.transactionLost(transaction)));
 		}
 
 		return this.#forward(method, vm, transaction, body, context);
 	}
 
-	async #forward(method: TransactionMethod, vm: string, transaction: string, body: Uint8Array, context: RequestContext): Outcome<Uint8Array> {
+	async #forward(method: TransactionMethod, vm: string, transaction: string, body: Uint8Array, context: RequestContext): HandlerResult<Uint8Array> {
 		const {
 			membership, clock, metrics, tracing,
-		} = this.parts;
+		} = this.dependencies;
 		const peer = membership.getPeer(vm);
 		if (peer === undefined) {
-			return Left(withoutSession(refusals.transactionNotFound(transaction)));
+			return Left(createRunRefusal(refusals.transactionNotFound(transaction)));
 		}
 
 		const startedAt = clock.getNow();
@@ -120,22 +120,22 @@
 				: Left({refusal: parseForwardedRefusal(response.refusalKind, response.refusalMessage, response.retryAfterMs), session: response.refusalSession});
 		} catch {
 			const refusal = method === 'commit' ? refusals.outcomeUnknown(`VM "${vm}" did not answer the commit`) : refusals.transactionLost(transaction);
-			return Left(withoutSession(refusal));
+			return Left(createRunRefusal(refusal));
 		}
 	}
 }
 
 /** Reads a refusal that came from the VM a request was forwarded to. */
 function parseForwardedRefusal(kind: string, message: string, retryAfterMs: number): Refusal {
-	const known: ErrorKind = isErrorKind(kind) ? kind : 'internal';
-	return new Refusal(known, message, retryAfterMs);
+	const errorKind: ErrorKind = isErrorKind(kind) ? kind : 'internal';
+	return new Refusal(errorKind, message, retryAfterMs);
 }
 
-function withoutSession(refusal: Refusal): RunRefusal {
+function createRunRefusal(refusal: Refusal): RunRefusal {
 	return {refusal, session: ''};
 }
 
-function formatAnswer(answer: EndpointResponse, session: string): RunResponse {
+function createRunResponse(answer: EndpointResponse, session: string): RunResponse {
 	return create(RunResponseSchema, {
 		rows: answer.rows, session, servedBy: answer.servedBy, stalenessMs: answer.stalenessMs, replayed: answer.replayed,
 	});
--- a/packages/proxy/src/services/connect-error.ts
+++ b/packages/proxy/src/services/connect-error.ts
@@ -2,7 +2,7 @@
 import {RefusalDetailSchema} from '@chicorysaddle/protocol';
 import {Refusal, refusals, type StatusName} from '@chicorysaddle/model';
 
-const codes: Readonly<Record<StatusName, Code>> = {
+const codesByStatus: Readonly<Record<StatusName, Code>> = {
 	invalid_argument: Code.InvalidArgument,
 	unauthenticated: Code.Unauthenticated,
 	permission_denied: Code.PermissionDenied,
@@ -23,14 +23,14 @@
  * @param refusal - The refusal.
  * @param session - Session token to use from now on, empty for no change.
  */
-export function formatRefusal(refusal: Refusal, session = ''): ConnectError {
+export function createConnectError(refusal: Refusal, session = ''): ConnectError {
 	const {details: answer} = refusal;
 	const metadata = new Headers({'chicorysaddle-refusal': refusal.kind, 'chicorysaddle-ran': answer.ran});
 	if (answer.retryable) {
 		metadata.set('retry-after', String(Math.max(1, Math.ceil(refusal.retryAfterMs / msPerSecond))));
 	}
 
-	return new ConnectError(refusal.message, codes[answer.status], metadata, [{
+	return new ConnectError(refusal.message, codesByStatus[answer.status], metadata, [{
 		desc: RefusalDetailSchema,
 		value: {
 			kind: refusal.kind, ran: answer.ran, retryable: answer.retryable, retryAfterMs: Math.ceil(refusal.retryAfterMs), session,
@@ -39,6 +39,6 @@
 }
 
 /** Returns the refusal that an unexpected error stands for. */
-export function describeUnexpected(error: unknown): Refusal {
+export function createRefusal(error: unknown): Refusal {
 	return error instanceof Refusal ? error : refusals.internal(error instanceof Error ? error.message : String(error));
 }
--- a/packages/proxy/src/services/operator-service.ts
+++ b/packages/proxy/src/services/operator-service.ts
@@ -12,10 +12,10 @@
 import {type LeaseRegistry, type AccountLimiter} from '../limits/index.js';
 import {type Membership, type Peer} from '../membership/index.js';
 import {type Clock, type Metrics} from '../observability/index.js';
-import {formatRefusal} from './connect-error.js';
+import {createConnectError} from './connect-error.js';
 
 /** Parts of the operator service. */
-export type OperatorServiceParts = {
+export type OperatorServiceDependencies = {
 	readonly membership: Membership;
 	readonly configuration: ConfigurationReplica;
 	readonly freshness: FreshnessTracker;
@@ -29,7 +29,7 @@
 const defaultHistoryLength = 20;
 
 /** Returns an interceptor that lets only operators with a known token through. */
-export function createOperatorGuard(tokenHashes: readonly string[]): Interceptor {
+export function createOperatorAuthInterceptor(tokenHashes: readonly string[]): Interceptor {
 	return next => async request => {
 		const hash = hashKey(getBearerToken(request.header.get('authorization') ?? '') ?? '');
 		if (!tokenHashes.some(known => isSameHash(known, hash))) {
@@ -41,20 +41,20 @@
 }
 
 /** Returns the routes of the operator service. */
-export function createOperatorRoutes(parts: OperatorServiceParts): (router: ConnectRouter) => void {
+export function createOperatorRoutes(parts: OperatorServiceDependencies): (router: ConnectRouter) => void {
 	const {configuration} = parts;
 	return router => {
 		router.service(OperatorService, {
-			getStatus: () => describeStatus(parts),
+			getStatus: () => createStatusResponse(parts),
 			getConfiguration: () => ({version: BigInt(configuration.version), rows: configuration.current.getRows().filter(row => !row.key.startsWith('secret/')) as never}),
 			getHistory: request => ({changes: configuration.getHistory(request.limit || defaultHistoryLength).map(change => formatChange(change))}),
 			applyChange: async request => applyChange(parts, request),
-			getInForce: request => describeInForce(parts, Number(request.version)),
+			getInForce: request => createInForceResponse(parts, Number(request.version)),
 		});
 	};
 }
 
-async function applyChange({configuration}: OperatorServiceParts, request: ApplyChangeRequest): Promise<MessageInitShape<typeof ApplyChangeResponseSchema>> {
+async function applyChange({configuration}: OperatorServiceDependencies, request: ApplyChangeRequest): Promise<MessageInitShape<typeof ApplyChangeResponseSchema>> {
 	const result = await configuration.applyChangeRequest({
 		expectedVersion: Number(request.expectedVersion),
 		author: request.author,
@@ -64,7 +64,7 @@
 	});
 	return result.caseOf<MessageInitShape<typeof ApplyChangeResponseSchema>>({
 		Left(refusal) {
-			throw formatRefusal(refusal);
+			throw createConnectError(refusal);
 		},
 		Right: applied => ({
 			result: applied.kind,
@@ -74,7 +74,7 @@
 	});
 }
 
-function describeInForce({membership, configuration, freshness, clock}: OperatorServiceParts, version: number): MessageInitShape<typeof GetInForceResponseSchema> {
+function createInForceResponse({membership, configuration, freshness, clock}: OperatorServiceDependencies, version: number): MessageInitShape<typeof GetInForceResponseSchema> {
 	const now = clock.getNow();
 	const isOwnInForce = configuration.version >= version && freshness.isFresh(configuration.current.getVoterNames(), now);
 	const isInForce = (peer: Peer) => peer.configurationVersion >= version && membership.isLive(peer, now);
@@ -87,7 +87,7 @@
 	};
 }
 
-function describePeerState(peer: Peer, isLive: boolean): string {
+function getPeerState(peer: Peer, isLive: boolean): string {
 	if (!isLive) {
 		return 'not heard';
 	}
@@ -95,7 +95,7 @@
 	return peer.isDraining ? 'draining' : 'live';
 }
 
-function describeStatus(parts: OperatorServiceParts): MessageInitShape<typeof GetStatusResponseSchema> {
+function createStatusResponse(parts: OperatorServiceDependencies): MessageInitShape<typeof GetStatusResponseSchema> {
 	const {
 		membership, configuration, freshness, groups, leases, limiter, clock, metrics,
 	} = parts;
@@ -109,7 +109,7 @@
 		freshnessAgeMs: Number.isFinite(ageMs) ? ageMs : -1,
 		leaseHolder: leases.participants.map(keeper => keeper.findHolderVm(now) ?? 'nobody').join(', '),
 		vms: membership.peers.map(peer => ({
-			name: peer.name, zone: peer.zone, state: describePeerState(peer, membership.isLive(peer, now)), configurationVersion: BigInt(peer.configurationVersion),
+			name: peer.name, zone: peer.zone, state: getPeerState(peer, membership.isLive(peer, now)), configurationVersion: BigInt(peer.configurationVersion),
 		})),
 		instances: groups.getGroups().flatMap(group => group.state.instances.map(instance => ({
 			endpoint: instance.name,
@@ -117,7 +117,7 @@
 			role: instance.isReachable ? (instance.name === group.state.primaryName ? 'primary' : 'replica') : 'unreachable',
 			term: BigInt(instance.term),
 			offset: BigInt(instance.position.offset),
-			connections: group.getPool(instance.name)?.open ?? 0,
+			connections: group.getPool(instance.name)?.openCount ?? 0,
 			inUse: instance.inUse,
 		}))),
 		accounts: configuration.current.getAccountNames().map(account => ({
--- a/packages/proxy/src/services/peer-service.ts
+++ b/packages/proxy/src/services/peer-service.ts
@@ -14,7 +14,7 @@
 import {type CallerHandlers, type TransactionMethod} from './caller-handlers.js';
 
 /** Parts of the peer service. */
-export type PeerServiceParts = {
+export type PeerServiceDependencies = {
 	readonly membership: Membership;
 	readonly exchange: PeerStateExchange;
 	readonly configuration: ConfigurationReplica;
@@ -29,7 +29,7 @@
 const transactionMethods: ReadonlySet<string> = new Set<TransactionMethod>(['run', 'commit', 'roll-back']);
 
 /** Returns an interceptor that lets only peers with the secret through. */
-export function createPeerGuard(secret: string): Interceptor {
+export function createPeerAuthInterceptor(secret: string): Interceptor {
 	const expected = hashKey(secret);
 	return next => async request => {
 		if (!isSameHash(hashKey(request.header.get(peerSecretHeader) ?? ''), expected)) {
@@ -41,7 +41,7 @@
 }
 
 /** Returns the routes of the peer service. */
-export function createPeerRoutes(parts: PeerServiceParts): (router: ConnectRouter) => void {
+export function createPeerRoutes(parts: PeerServiceDependencies): (router: ConnectRouter) => void {
 	const {
 		membership, exchange, configuration, freshness, leases, limiter,
 	} = parts;
@@ -70,17 +70,17 @@
 			},
 			reportDemand: request => formatGrant(limiter.handleReport(parseReport(request), request.lease)),
 			handOver: async request => ({taken: await limiter.takeOver(request.lease, request.holder, Number(request.term), parseAllocatorState(request))}),
-			forward: async request => runForwarded(parts, request),
+			forward: async request => runForwardedRequest(parts, request),
 		});
 	};
 }
 
-async function runForwarded({handlers, clock, tracing}: PeerServiceParts, request: ForwardRequest): Promise<MessageInitShape<typeof ForwardResponseSchema>> {
+async function runForwardedRequest({handlers, clock, tracing}: PeerServiceDependencies, request: ForwardRequest): Promise<MessageInitShape<typeof ForwardResponseSchema>> {
 	if (!transactionMethods.has(request.method)) {
 		throw new ConnectError(`no method "${request.method}"`, Code.Unimplemented);
 	}
 
-	const parent = tracing.readContext(request.traceparent);
+	const parent = tracing.parseTraceparent(request.traceparent);
 	const result = await tracing.runInSpan(`forwarded ${request.method}`, parent, async trace => handlers.runLocally(request.method as TransactionMethod, request.body, {
 		authorization: request.authorization,
 		idempotencyKey: request.idempotencyKey,
--- a/packages/proxy/src/sessions/index.ts
+++ b/packages/proxy/src/sessions/index.ts
@@ -1,1 +1,1 @@
-export * from './session-token.js';
+export * from './session-token-codec.js';
--- a/packages/proxy/src/sessions/session-token.ts
+++ b/packages/proxy/src/sessions/session-token-codec.ts
@@ -7,15 +7,15 @@
 import {Session} from '@chicorysaddle/decisions';
 import {type Refusal, refusals} from '@chicorysaddle/model';
 
-const signatureBytes = 16;
+const signatureLengthBytes = 16;
 /** Longest token that is read, in characters. */
 export const maxTokenLength = 8192;
 
-const markSchema = z.tuple([z.string(), z.number().int().min(0), z.number().int().min(0), z.union([z.literal(0), z.literal(1)])]);
-const tokenSchema = z.object({a: z.string(), m: z.array(markSchema)});
+const watermarkSchema = z.tuple([z.string(), z.number().int().min(0), z.number().int().min(0), z.union([z.literal(0), z.literal(1)])]);
+const tokenSchema = z.object({a: z.string(), m: z.array(watermarkSchema)});
 
 function signPayload(payload: Uint8Array, secret: KeyObject): Uint8Array {
-	return createHmac('sha256', secret).update(payload).digest().subarray(0, signatureBytes);
+	return createHmac('sha256', secret).update(payload).digest().subarray(0, signatureLengthBytes);
 }
 
 /** Writes and reads the opaque session tokens of callers; any proxy with the secret can read them. */
@@ -33,8 +33,8 @@
 			return '';
 		}
 
-		const marks = [...session.getWatermarks()].map(([group, mark]) => [group, mark.position.term, mark.position.offset, mark.primaryOnly ? 1 : 0]);
-		const payload = Buffer.from(JSON.stringify({a: account, m: marks}));
+		const watermarks = [...session.getWatermarks()].map(([group, mark]) => [group, mark.position.term, mark.position.offset, mark.primaryOnly ? 1 : 0]);
+		const payload = Buffer.from(JSON.stringify({a: account, m: watermarks}));
 		return Buffer.concat([signPayload(payload, secret), payload]).toString('base64url');
 	}
 
@@ -54,9 +54,9 @@
 		}
 
 		const bytes = Buffer.from(token, 'base64url');
-		const signature = bytes.subarray(0, signatureBytes);
-		const payload = bytes.subarray(signatureBytes);
-		if (signature.length < signatureBytes || !timingSafeEqual(signature, signPayload(payload, secret))) {
+		const signature = bytes.subarray(0, signatureLengthBytes);
+		const payload = bytes.subarray(signatureLengthBytes);
+		if (signature.length < signatureLengthBytes || !timingSafeEqual(signature, signPayload(payload, secret))) {
 			return Left(refusals.invalidSession('is not genuine'));
 		}
 
--- a/packages/proxy/src/settings/index.ts
+++ b/packages/proxy/src/settings/index.ts
@@ -1,3 +1,3 @@
 export * from './settings.js';
 export * from './load-settings.js';
-export * from './format-reference.js';
+export * from './settings-reference.js';
--- a/packages/proxy/src/settings/load-settings.ts
+++ b/packages/proxy/src/settings/load-settings.ts
@@ -5,14 +5,14 @@
 import {type z} from 'zod';
 import {type Settings, settingsSchema} from './settings.js';
 
-function describeLine(text: string, path: readonly PropertyKey[]): string {
+function formatLine(text: string, path: readonly PropertyKey[]): string {
 	const line = findSettingLine(text, String(path.at(-1) ?? ''));
 	return line === undefined ? '' : `:${line}`;
 }
 
-function describeIssue(file: string, text: string, issue: z.core.$ZodIssue): string {
+function formatIssue(file: string, text: string, issue: z.core.$ZodIssue): string {
 	const path = issue.code === 'unrecognized_keys' ? [...issue.path, ...issue.keys] : issue.path;
-	return `${file}${describeLine(text, path)}: ${path.join('.') || 'settings'}: ${issue.message}`;
+	return `${file}${formatLine(text, path)}: ${path.join('.') || 'settings'}: ${issue.message}`;
 }
 
 /**
@@ -24,7 +24,7 @@
 export function parseSettings(file: string, text: string): Either<string[], Settings> {
 	try {
 		const result = settingsSchema.safeParse(parse(text));
-		return result.success ? Right(result.data) : Left(result.error.issues.map(issue => describeIssue(file, text, issue)));
+		return result.success ? Right(result.data) : Left(result.error.issues.map(issue => formatIssue(file, text, issue)));
 	} catch (error) {
 		if (error instanceof TomlError) {
 			return Left([`${file}:${error.line}:${error.column}: ${error.message.split('\n', 1)[0] ?? ''}`]);
--- a/packages/proxy/src/settings/format-reference.ts
+++ b/packages/proxy/src/settings/settings-reference.ts
@@ -7,7 +7,7 @@
 
 type TableSchema = {readonly properties?: Readonly<Record<string, PropertySchema>>; readonly required?: readonly string[]};
 
-function describeType({type, enum: values, items}: PropertySchema): string {
+function formatType({type, enum: values, items}: PropertySchema): string {
 	if (values !== undefined) {
 		return values.map(value => `"${String(value)}"`).join(', ');
 	}
@@ -16,8 +16,8 @@
 }
 
 function formatProperty(name: string, property: PropertySchema): string {
-	const standard = property.default === undefined ? '' : `\`${JSON.stringify(property.default)}\``;
-	return `| \`${name}\` | ${describeType(property)} | ${standard} | ${property.description ?? ''} |`;
+	const defaultValue = property.default === undefined ? '' : `\`${JSON.stringify(property.default)}\``;
+	return `| \`${name}\` | ${formatType(property)} | ${defaultValue} | ${property.description ?? ''} |`;
 }
 
 /** Writes the reference of all settings as a page, from the schema that checks them. */
--- a/packages/proxy/src/settings/settings.ts
+++ b/packages/proxy/src/settings/settings.ts
@@ -1,9 +1,9 @@
 import {z} from 'zod';
 
-const port = z.number().int().min(0).max(65_535);
-const hostPort = z.string().regex(/^[\w.\-]+:\d{1,5}$/v, 'must be host:port');
-const duration = z.number().int().positive();
-const hash = z.string().regex(/^[\da-f]{64}$/v, 'must be a SHA-256 hash in hexadecimal');
+const portSchema = z.number().int().min(0).max(65_535);
+const hostPortSchema = z.string().regex(/^[\w.\-]+:\d{1,5}$/v, 'must be host:port');
+const positiveIntegerSchema = z.number().int().positive();
+const sha256Schema = z.string().regex(/^[\da-f]{64}$/v, 'must be a SHA-256 hash in hexadecimal');
 
 const vmSchema = z.strictObject({
 	name: z.string().min(1).describe('Name of this VM, unique among the VMs'),
@@ -13,36 +13,36 @@
 });
 
 const portsSchema = z.strictObject({
-	caller: port.default(7000).describe('Port for callers, HTTP/1.1'),
-	caller_http2: port.optional().describe('Port for callers, HTTP/2 without TLS; none where absent'),
-	peer: port.default(7001).describe('Port for other proxies'),
-	operator: port.default(7002).describe('Port for operators, health and metrics'),
+	caller: portSchema.default(7000).describe('Port for callers, HTTP/1.1'),
+	caller_http2: portSchema.optional().describe('Port for callers, HTTP/2 without TLS; none where absent'),
+	peer: portSchema.default(7001).describe('Port for other proxies'),
+	operator: portSchema.default(7002).describe('Port for operators, health and metrics'),
 });
 
 const platformSchema = z.strictObject({
-	address: hostPort.describe('Address of the platform'),
-	timeout_ms: duration.default(1000).describe('Longest wait for an answer of the platform'),
+	address: hostPortSchema.describe('Address of the platform'),
+	timeout_ms: positiveIntegerSchema.default(1000).describe('Longest wait for an answer of the platform'),
 });
 
 const peersSchema = z.strictObject({
 	secret: z.string().min(16).describe('Secret that proxies show one another'),
-	exchange_ms: duration.default(1000).describe('Time between two exchanges with a peer'),
-	timeout_ms: duration.default(700).describe('Longest wait for an answer of a peer'),
+	exchange_ms: positiveIntegerSchema.default(1000).describe('Time between two exchanges with a peer'),
+	timeout_ms: positiveIntegerSchema.default(700).describe('Longest wait for an answer of a peer'),
 });
 
 const operatorSchema = z.strictObject({
-	token_hashes: z.array(hash).default([]).describe('SHA-256 hashes of the operators\' tokens'),
+	token_hashes: z.array(sha256Schema).default([]).describe('SHA-256 hashes of the operators\' tokens'),
 });
 
 const timeoutsSchema = z.strictObject({
-	default_deadline_ms: duration.default(5000).describe('Deadline of a request that brings none'),
-	longest_deadline_ms: duration.default(30_000).describe('Longest deadline that a request may bring'),
-	freshness_ms: duration.default(2500).describe('Longest age of the configuration that may be used'),
-	endpoint_connect_ms: duration.default(1000).describe('Longest time to open a connection to an endpoint'),
-	transaction_idle_ms: duration.default(10_000).describe('Longest pause between two statements of a transaction'),
-	transaction_total_ms: duration.default(60_000).describe('Longest life of a transaction'),
+	default_deadline_ms: positiveIntegerSchema.default(5000).describe('Deadline of a request that brings none'),
+	longest_deadline_ms: positiveIntegerSchema.default(30_000).describe('Longest deadline that a request may bring'),
+	freshness_ms: positiveIntegerSchema.default(2500).describe('Longest age of the configuration that may be used'),
+	endpoint_connect_ms: positiveIntegerSchema.default(1000).describe('Longest time to open a connection to an endpoint'),
+	transaction_idle_ms: positiveIntegerSchema.default(10_000).describe('Longest pause between two statements of a transaction'),
+	transaction_total_ms: positiveIntegerSchema.default(60_000).describe('Longest life of a transaction'),
 	drain_grace_ms: z.number().int().min(0).default(2000).describe('Time between becoming unready and closing the listeners'),
-	drain_limit_ms: duration.default(30_000).describe('Longest time to finish what is in flight'),
+	drain_limit_ms: positiveIntegerSchema.default(30_000).describe('Longest time to finish what is in flight'),
 });
 
 const policySchema = z.strictObject({
@@ -61,8 +61,8 @@
 	otlp_url: z.url().optional().describe('Where spans are sent; nowhere where absent'),
 });
 
-const requestSchema = z.strictObject({
-	max_body_bytes: duration.default(1_048_576).describe('Largest request body'),
+const requestsSchema = z.strictObject({
+	max_body_bytes: positiveIntegerSchema.default(1_048_576).describe('Largest request body'),
 });
 
 /** Settings of the daemon, by table of the TOML file. */
@@ -73,7 +73,7 @@
 	peers: peersSchema,
 	operator: operatorSchema.prefault({}),
 	timeouts: timeoutsSchema.prefault({}),
-	requests: requestSchema.prefault({}),
+	requests: requestsSchema.prefault({}),
 	policy: policySchema.prefault({}),
 	log: logSchema.prefault({}),
 	trace: traceSchema.prefault({}),
--- a/packages/proxy/src/tests/settings/settings.test.ts
+++ b/packages/proxy/src/tests/settings/settings.test.ts
@@ -2,7 +2,7 @@
 import test from 'ava';
 import {formatSettingsReference, parseSettings} from '../../index.js';
 
-const good = `
+const validSettings = `
 [vm]
 name = "vm-1"
 zone = "z"
@@ -13,13 +13,13 @@
 `;
 
 test('settings are filled in with standard values', t => {
-	const settings = parseSettings('vm.toml', good).unsafeCoerce();
+	const settings = parseSettings('vm.toml', validSettings).unsafeCoerce();
 	t.deepEqual([settings.ports.caller, settings.timeouts.freshness_ms, settings.policy.reads], [7000, 2500, 'product']);
 });
 
 test('every error names file, line and key, and what was expected', t => {
-	const bad = `${good}[ports]\ncaller = 70000\ncolour = "red"\n[timeouts]\nfreshness_ms = "soon"\n`;
-	t.deepEqual(parseSettings('vm.toml', bad).swap().orDefault([]).toSorted(), [
+	const invalidSettings = `${validSettings}[ports]\ncaller = 70000\ncolour = "red"\n[timeouts]\nfreshness_ms = "soon"\n`;
+	t.deepEqual(parseSettings('vm.toml', invalidSettings).swap().orDefault([]).toSorted(), [
 		'vm.toml:10: ports.caller: Too big: expected number to be <=65535',
 		'vm.toml:11: ports.colour: Unrecognized key: "colour"',
 		'vm.toml:13: timeouts.freshness_ms: Invalid input: expected number, received string',
--- a/packages/proxy/src/transactions/transaction-registry.ts
+++ b/packages/proxy/src/transactions/transaction-registry.ts
@@ -43,7 +43,7 @@
 		const transaction: Transaction = {
 			...structure,
 			groupName: structure.group.state.name,
-			lossesAtBegin: structure.placement.connection.losses,
+			lossesAtBegin: structure.placement.connection.disconnectCount,
 			expiresAt: now + this.timeouts.totalTimeoutMs,
 			idleExpiresAt: now + this.timeouts.idleTimeoutMs,
 			isBusy: false,
--- a/packages/proxy/src/transactions/transaction-runner.ts
+++ b/packages/proxy/src/transactions/transaction-runner.ts
@@ -35,8 +35,8 @@
 
 	/** Begins a transaction on the primary of a group. */
 	async beginTransaction(groupName: string, context: RequestContext): Promise<Either<Refusal, string>> {
-		const {gate, groups, requests} = this.dependencies;
-		const identified = gate.identifyCaller(context.authorization, false);
+		const {authenticator: gate, groups, requests} = this.dependencies;
+		const identified = gate.authenticateCaller(context.authorization, false);
 		const group = groups.getGroup(groupName);
 		if (identified.isLeft() || group === undefined) {
 			return identified.isLeft() ? (identified) : Left(refusals.invalid(`no database group "${groupName}"`));
@@ -53,7 +53,7 @@
 			chooseInstance: () => {
 				const choice = choosePrimary(group);
 				const pool = choice.kind === 'send' ? group.getPool(choice.instance.name) : undefined;
-				return choice.kind === 'send' && this.dependencies.registry.countTransactionsOn(choice.instance.name) >= (pool?.limit ?? 0) - reservedConnections ? {kind: 'wait'} : choice;
+				return choice.kind === 'send' && this.dependencies.registry.countTransactionsOn(choice.instance.name) >= (pool?.maxRequestConnections ?? 0) - reservedConnections ? {kind: 'wait'} : choice;
 			},
 		});
 		if (slot.isLeft()) {
@@ -87,7 +87,7 @@
 
 		transaction.isBusy = true;
 		const admitted = await this.dependencies.requests.admitRequest(transaction.caller, context);
-		const allowed = admitted.chain(() => this.dependencies.gate.checkIdentity(transaction.caller));
+		const allowed = admitted.chain(() => this.dependencies.authenticator.checkIdentity(transaction.caller));
 		if (allowed.isLeft()) {
 			this.dependencies.registry.setIdle(transaction);
 			return allowed;
@@ -160,8 +160,8 @@
 	}
 
 	#findTransaction(id: string, context: RequestContext): Either<Refusal, Transaction> {
-		const {gate, registry} = this.dependencies;
-		return gate.identifyCaller(context.authorization, false).chain(caller => {
+		const {authenticator: gate, registry} = this.dependencies;
+		return gate.authenticateCaller(context.authorization, false).chain(caller => {
 			const transaction = registry.getTransaction(id);
 			if (transaction === undefined) {
 				return Left(refusals.transactionNotFound(id));
--- a/packages/proxy/src/transactions/transaction.ts
+++ b/packages/proxy/src/transactions/transaction.ts
@@ -21,5 +21,5 @@
 
 /** Says whether the connection that a transaction lives on is gone. */
 export function isTransactionLost(transaction: Transaction): boolean {
-	return transaction.placement.connection.losses !== transaction.lossesAtBegin;
+	return transaction.placement.connection.disconnectCount !== transaction.lossesAtBegin;
 }
--- a/packages/proxy/src/wiring/container.ts
+++ b/packages/proxy/src/wiring/container.ts
@@ -3,7 +3,7 @@
 import {Container, type ServiceIdentifier} from 'inversify';
 import {FreshnessTracker, ReadRouter, RetryBudget} from '@chicorysaddle/decisions';
 import {ConfigurationLog, PlatformClient} from '@chicorysaddle/store';
-import {AccessGate} from '../access/index.js';
+import {CallerAuthenticator} from '../access/index.js';
 import {ConfigurationReplica} from '../configuration/index.js';
 import {HttpEndpointConnector} from '../endpoints/index.js';
 import {GroupRegistry, Promoter} from '../groups/index.js';
@@ -21,14 +21,14 @@
 /** Name of the row that holds the signing key of session tokens. */
 export const sessionSecretName = 'session';
 
-const incarnationBytes = 6;
-const idBytes = 12;
+const incarnationLengthBytes = 6;
+const idPrefixLengthBytes = 12;
 
 /** What the parts are looked up by. */
-export const partNames = {
+export const serviceIdentifiers = {
 	settings: Symbol('settings') as ServiceIdentifier<Settings>,
 	clock: Symbol('clock') as ServiceIdentifier<Clock>,
-	requestParts: Symbol('request parts') as ServiceIdentifier<RequestDependencies>,
+	requestDependencies: Symbol('request parts') as ServiceIdentifier<RequestDependencies>,
 } as const;
 
 /**
@@ -38,38 +38,38 @@
  */
 export function createContainer(settings: Settings, peerAddress: string): Container {
 	const container = new Container({defaultScope: 'Singleton'});
-	container.bind(partNames.settings).toConstantValue(settings);
-	container.bind(partNames.clock).toConstantValue(systemClock);
+	container.bind(serviceIdentifiers.settings).toConstantValue(settings);
+	container.bind(serviceIdentifiers.clock).toConstantValue(systemClock);
 	container.bind(Metrics).toConstantValue(new Metrics());
 	container.bind(Logger).toConstantValue(new Logger(settings.log.level, {vm: settings.vm.name}));
 	container.bind(Tracing).toConstantValue(new Tracing({sampleRatio: settings.trace.sample_ratio, otlpUrl: settings.trace.otlp_url}));
-	bindState(container, settings, peerAddress);
+	bindMembershipAndConfiguration(container, settings, peerAddress);
 	bindLimits(container, settings);
 	bindGroups(container, settings);
 	bindRequests(container, settings);
 	return container;
 }
 
-function bindState(container: Container, settings: Settings, peerAddress: string): void {
+function bindMembershipAndConfiguration(container: Container, settings: Settings, peerAddress: string): void {
 	const sourceAddress = settings.vm.source_address;
 	container.bind(PlatformClient).toDynamicValue(() => new PlatformClient({address: settings.platform.address, timeoutMs: settings.platform.timeout_ms, sourceAddress})).inSingletonScope();
-	container.bind(FreshnessTracker).toDynamicValue(context => new FreshnessTracker(settings.vm.name, settings.timeouts.freshness_ms, context.get(partNames.clock).getNow())).inSingletonScope();
+	container.bind(FreshnessTracker).toDynamicValue(context => new FreshnessTracker(settings.vm.name, settings.timeouts.freshness_ms, context.get(serviceIdentifiers.clock).getNow())).inSingletonScope();
 	container.bind(Membership).toDynamicValue(context => new Membership({
-		name: settings.vm.name, zone: settings.vm.zone, address: peerAddress, incarnation: randomBytes(incarnationBytes).toString('hex'),
-	}, context.get(PlatformClient), {secret: settings.peers.secret, sourceAddress}, context.get(partNames.clock))).inSingletonScope();
+		name: settings.vm.name, zone: settings.vm.zone, address: peerAddress, incarnation: randomBytes(incarnationLengthBytes).toString('hex'),
+	}, context.get(PlatformClient), {secret: settings.peers.secret, sourceAddress}, context.get(serviceIdentifiers.clock))).inSingletonScope();
 	container.bind(ConfigurationReplica).toDynamicValue(context => new ConfigurationReplica({
 		log: new ConfigurationLog(context.get(PlatformClient), context.get(PlatformClient)),
 		freshness: context.get(FreshnessTracker),
 		membership: context.get(Membership),
-		clock: context.get(partNames.clock),
+		clock: context.get(serviceIdentifiers.clock),
 		logger: context.get(Logger),
 	})).inSingletonScope();
-	container.bind(VoterReconciler).toDynamicValue(context => new VoterReconciler(context.get(ConfigurationReplica), context.get(Membership), context.get(partNames.clock))).inSingletonScope();
-	container.bind(AccessGate).toDynamicValue(context => {
+	container.bind(VoterReconciler).toDynamicValue(context => new VoterReconciler(context.get(ConfigurationReplica), context.get(Membership), context.get(serviceIdentifiers.clock))).inSingletonScope();
+	container.bind(CallerAuthenticator).toDynamicValue(context => {
 		const configuration = context.get(ConfigurationReplica).current;
 		const freshness = context.get(FreshnessTracker);
-		const clock = context.get(partNames.clock);
-		return new AccessGate({
+		const clock = context.get(serviceIdentifiers.clock);
+		return new CallerAuthenticator({
 			configuration,
 			isFresh: () => freshness.isFresh(configuration.getVoterNames(), clock.getNow()),
 			getAgeMs: () => freshness.getAgeMs(configuration.getVoterNames(), clock.getNow()),
@@ -78,12 +78,12 @@
 }
 
 function bindLimits(container: Container, settings: Settings): void {
-	container.bind(LeaseRegistry).toDynamicValue(context => new LeaseRegistry(context.get(Membership), context.get(ConfigurationReplica), context.get(partNames.clock), context.get(Logger))).inSingletonScope();
+	container.bind(LeaseRegistry).toDynamicValue(context => new LeaseRegistry(context.get(Membership), context.get(ConfigurationReplica), context.get(serviceIdentifiers.clock), context.get(Logger))).inSingletonScope();
 	container.bind(AccountLimiter).toDynamicValue(context => new AccountLimiter({
 		membership: context.get(Membership),
 		configuration: context.get(ConfigurationReplica),
 		leases: context.get(LeaseRegistry),
-		clock: context.get(partNames.clock),
+		clock: context.get(serviceIdentifiers.clock),
 		metrics: context.get(Metrics),
 		logger: context.get(Logger),
 		policy: settings.policy.limits,
@@ -91,12 +91,12 @@
 }
 
 function bindGroups(container: Container, settings: Settings): void {
-	container.bind(Promoter).toDynamicValue(context => new Promoter(context.get(Membership).id, context.get(PlatformClient), context.get(partNames.clock), context.get(Logger), context.get(Metrics))).inSingletonScope();
+	container.bind(Promoter).toDynamicValue(context => new Promoter(context.get(Membership).id, context.get(PlatformClient), context.get(serviceIdentifiers.clock), context.get(Logger), context.get(Metrics))).inSingletonScope();
 	container.bind(GroupRegistry).toDynamicValue(context => new GroupRegistry(
 		settings.vm.name,
 		new HttpEndpointConnector({connectTimeoutMs: settings.timeouts.endpoint_connect_ms, sourceAddress: settings.vm.source_address}),
 		context.get(Promoter),
-		context.get(partNames.clock),
+		context.get(serviceIdentifiers.clock),
 		settings.policy.queue,
 	)).inSingletonScope();
 	container.bind(PeerStateExchange).toDynamicValue(context => new PeerStateExchange({
@@ -105,26 +105,26 @@
 		freshness: context.get(FreshnessTracker),
 		groups: context.get(GroupRegistry),
 		leases: context.get(LeaseRegistry),
-		clock: context.get(partNames.clock),
+		clock: context.get(serviceIdentifiers.clock),
 		timeoutMs: settings.peers.timeout_ms,
 	})).inSingletonScope();
 }
 
 /** Returns a source of identities: random ones for this process, numbered. */
-function createIdSource(): () => string {
-	const prefix = randomBytes(idBytes).toString('base64url');
-	let last = 0;
+function createIdGenerator(): () => string {
+	const prefix = randomBytes(idPrefixLengthBytes).toString('base64url');
+	let lastNumber = 0;
 	return () => {
-		last += 1;
-		return `${prefix}.${last.toString(36)}`;
+		lastNumber += 1;
+		return `${prefix}.${lastNumber.toString(36)}`;
 	};
 }
 
 function bindRequests(container: Container, settings: Settings): void {
-	container.bind(partNames.requestParts).toDynamicValue(context => {
+	container.bind(serviceIdentifiers.requestDependencies).toDynamicValue(context => {
 		const configuration = context.get(ConfigurationReplica);
 		return {
-			gate: context.get(AccessGate),
+			authenticator: context.get(CallerAuthenticator),
 			configuration,
 			groups: context.get(GroupRegistry),
 			limiter: context.get(AccountLimiter),
@@ -132,20 +132,20 @@
 			claims: new ClaimRegistry(context.get(PlatformClient)),
 			router: new ReadRouter(settings.vm.zone, settings.policy.reads),
 			retryBudget: new RetryBudget(),
-			clock: context.get(partNames.clock),
+			clock: context.get(serviceIdentifiers.clock),
 			metrics: context.get(Metrics),
 			tracing: context.get(Tracing),
 			acknowledge: settings.policy.acknowledge,
 			getRandom: () => randomBytes(1)[0]! / 256,
-			createId: createIdSource(),
+			createId: createIdGenerator(),
 		};
 	}).inSingletonScope();
-	container.bind(RequestRunner).toDynamicValue(context => new RequestRunner(context.get(partNames.requestParts))).inSingletonScope();
+	container.bind(RequestRunner).toDynamicValue(context => new RequestRunner(context.get(serviceIdentifiers.requestDependencies))).inSingletonScope();
 	container.bind(TransactionRegistry).toDynamicValue(context => new TransactionRegistry({
 		idleTimeoutMs: settings.timeouts.transaction_idle_ms, totalTimeoutMs: settings.timeouts.transaction_total_ms,
-	}, context.get(partNames.clock))).inSingletonScope();
+	}, context.get(serviceIdentifiers.clock))).inSingletonScope();
 	container.bind(TransactionRunner).toDynamicValue(context => new TransactionRunner({
-		...context.get(partNames.requestParts),
+		...context.get(serviceIdentifiers.requestDependencies),
 		registry: context.get(TransactionRegistry),
 		requests: context.get(RequestRunner),
 		idPrefix: context.get(Membership).id,
@@ -154,7 +154,7 @@
 		requests: context.get(RequestRunner),
 		transactions: context.get(TransactionRunner),
 		membership: context.get(Membership),
-		clock: context.get(partNames.clock),
+		clock: context.get(serviceIdentifiers.clock),
 		metrics: context.get(Metrics),
 		tracing: context.get(Tracing),
 	})).inSingletonScope();
--- a/packages/proxy/src/wiring/proxy.ts
+++ b/packages/proxy/src/wiring/proxy.ts
@@ -2,7 +2,7 @@
 import {connectNodeAdapter} from '@connectrpc/connect-node';
 import {FreshnessTracker} from '@chicorysaddle/decisions';
 import {PlatformClient} from '@chicorysaddle/store';
-import {AccessGate} from '../access/index.js';
+import {CallerAuthenticator} from '../access/index.js';
 import {ConfigurationReplica} from '../configuration/index.js';
 import {GroupRegistry} from '../groups/index.js';
 import {LeaseRegistry, AccountLimiter} from '../limits/index.js';
@@ -12,14 +12,14 @@
 } from '../observability/index.js';
 import {createHealthListener, Listeners, serveCallers} from '../server/index.js';
 import {
-	CallerHandlers, createCallerRoutes, createOperatorGuard, createOperatorRoutes, createPeerGuard, createPeerRoutes,
+	CallerHandlers, createCallerRoutes, createOperatorAuthInterceptor, createOperatorRoutes, createPeerAuthInterceptor, createPeerRoutes,
 } from '../services/index.js';
 import {type Settings} from '../settings/index.js';
 import {TransactionRegistry} from '../transactions/index.js';
-import {createContainer, partNames} from './container.js';
+import {createContainer, serviceIdentifiers} from './container.js';
 
 /** Pauses of the repeated tasks, in milliseconds. */
-const pauses = {
+const taskDelaysMs = {
 	vmList: 2000,
 	storePoll: 1000,
 	tick: 100,
@@ -55,30 +55,30 @@
 	/** Binds the ports and starts to work. */
 	static async start(settings: Settings): Promise<Proxy> {
 		const listeners = new Listeners(settings);
-		await listeners.open();
+		await listeners.openPorts();
 		const proxy = new Proxy(settings, listeners);
-		proxy.#serve();
+		proxy.#registerServices();
 		proxy.#startTasks();
-		proxy.#get(Logger).info('proxy started', {caller: proxy.callerPort, peer: proxy.peerPort, operator: proxy.operatorPort});
+		proxy.#getService(Logger).info('proxy started', {caller: proxy.callerPort, peer: proxy.peerPort, operator: proxy.operatorPort});
 		return proxy;
 	}
 
 	/** Whether new requests are welcome. */
 	isReady(): boolean {
-		const hasAllocator = this.settings.policy.limits !== 'product' || this.#get(LeaseRegistry).isEveryLeaseHeld(this.#container.get(partNames.clock).getNow());
-		return !this.#get(Membership).isDraining && hasAllocator && this.#get(AccessGate).checkIdentity({account: '', keyHash: ''}).isRight() && this.#get(ConfigurationReplica).version > 0 && this.#get(GroupRegistry).areAllInstancesProbed;
+		const hasAllocator = this.settings.policy.limits !== 'product' || this.#getService(LeaseRegistry).isEveryLeaseHeld(this.#container.get(serviceIdentifiers.clock).getNow());
+		return !this.#getService(Membership).isDraining && hasAllocator && this.#getService(CallerAuthenticator).checkIdentity({account: '', keyHash: ''}).isRight() && this.#getService(ConfigurationReplica).version > 0 && this.#getService(GroupRegistry).areAllInstancesProbed;
 	}
 
 	/** Becomes unready, finishes what is in flight, gives shares back and closes. */
 	async drain(): Promise<void> {
 		const {timeouts} = this.settings;
-		const logger = this.#get(Logger);
+		const logger = this.#getService(Logger);
 		logger.info('drain started');
-		this.#get(Membership).isDraining = true;
+		this.#getService(Membership).isDraining = true;
 		await wait(timeouts.drain_grace_ms);
-		await this.#finishTransactions(timeouts.drain_limit_ms);
-		await this.#listeners.closeCallers(timeouts.drain_limit_ms);
-		await this.#get(AccountLimiter).returnSharesAndLeases();
+		await this.#waitForTransactions(timeouts.drain_limit_ms);
+		await this.#listeners.closeCallerPorts(timeouts.drain_limit_ms);
+		await this.#getService(AccountLimiter).returnSharesAndLeases();
 		logger.info('drain ended');
 		await this.close();
 	}
@@ -94,71 +94,71 @@
 			task.stop();
 		}
 
-		await this.#listeners.closeCallers(0);
-		this.#listeners.closeControl();
-		this.#get(GroupRegistry).close();
-		this.#get(Membership).close();
-		this.#get(PlatformClient).close();
-		await this.#get(Tracing).close();
+		await this.#listeners.closeCallerPorts(0);
+		this.#listeners.closePeerAndOperatorPorts();
+		this.#getService(GroupRegistry).close();
+		this.#getService(Membership).close();
+		this.#getService(PlatformClient).close();
+		await this.#getService(Tracing).close();
 	}
 
-	#get<T>(part: new (...parameters: never[]) => T): T {
-		return this.#container.get(part as never);
+	#getService<T>(service: new (...parameters: never[]) => T): T {
+		return this.#container.get(service as never);
 	}
 
-	async #finishTransactions(limitMs: number): Promise<void> {
-		const stepMs = 50;
-		const registry = this.#get(TransactionRegistry);
-		for (let waitedMs = 0; registry.size > 0 && waitedMs < limitMs; waitedMs += stepMs) {
-			await wait(stepMs);
+	async #waitForTransactions(timeoutMs: number): Promise<void> {
+		const pollIntervalMs = 50;
+		const registry = this.#getService(TransactionRegistry);
+		for (let waitedMs = 0; registry.size > 0 && waitedMs < timeoutMs; waitedMs += pollIntervalMs) {
+			await wait(pollIntervalMs);
 		}
 	}
 
-	#serve(): void {
-		const clock = this.#container.get(partNames.clock);
+	#registerServices(): void {
+		const clock = this.#container.get(serviceIdentifiers.clock);
 		const {timeouts, requests, peers, operator} = this.settings;
 		const parts = {
-			membership: this.#get(Membership),
-			exchange: this.#get(PeerStateExchange),
-			configuration: this.#get(ConfigurationReplica),
-			freshness: this.#get(FreshnessTracker),
-			groups: this.#get(GroupRegistry),
-			leases: this.#get(LeaseRegistry),
-			limiter: this.#get(AccountLimiter),
-			handlers: this.#get(CallerHandlers),
-			metrics: this.#get(Metrics),
-			tracing: this.#get(Tracing),
+			membership: this.#getService(Membership),
+			exchange: this.#getService(PeerStateExchange),
+			configuration: this.#getService(ConfigurationReplica),
+			freshness: this.#getService(FreshnessTracker),
+			groups: this.#getService(GroupRegistry),
+			leases: this.#getService(LeaseRegistry),
+			limiter: this.#getService(AccountLimiter),
+			handlers: this.#getService(CallerHandlers),
+			metrics: this.#getService(Metrics),
+			tracing: this.#getService(Tracing),
 			clock,
 		};
-		serveCallers(this.#listeners, createCallerRoutes({...parts, deadlines: {defaultMs: timeouts.default_deadline_ms, longestMs: timeouts.longest_deadline_ms}}), {
+		serveCallers(this.#listeners, createCallerRoutes({...parts, deadlines: {defaultMs: timeouts.default_deadline_ms, maxMs: timeouts.longest_deadline_ms}}), {
 			maxBodyBytes: requests.max_body_bytes,
-			longestDeadlineMs: timeouts.longest_deadline_ms,
+			maxDeadlineMs: timeouts.longest_deadline_ms,
 			isDraining: () => parts.membership.isDraining,
 		});
-		this.#listeners.peer.on('request', connectNodeAdapter({routes: createPeerRoutes(parts), interceptors: [createPeerGuard(peers.secret)]}));
-		const operatorAdapter = connectNodeAdapter({routes: createOperatorRoutes(parts), interceptors: [createOperatorGuard(operator.token_hashes)]});
+		this.#listeners.peer.on('request', connectNodeAdapter({routes: createPeerRoutes(parts), interceptors: [createPeerAuthInterceptor(peers.secret)]}));
+		const operatorAdapter = connectNodeAdapter({routes: createOperatorRoutes(parts), interceptors: [createOperatorAuthInterceptor(operator.token_hashes)]});
 		this.#listeners.operator.on('request', createHealthListener({isReady: () => this.isReady(), metrics: parts.metrics}, operatorAdapter));
 		this.#addGauges();
 	}
 
 	#addGauges(): void {
-		const metrics = this.#get(Metrics);
-		const {counters} = this.#get(PlatformClient);
+		const metrics = this.#getService(Metrics);
+		const {counters} = this.#getService(PlatformClient);
 		for (const name of Object.keys(counters) as Array<keyof typeof counters>) {
 			metrics.addGauge(`platform.${name}`, () => counters[name]);
 		}
 
-		metrics.addGauge('transactions.open', () => this.#get(TransactionRegistry).size);
-		metrics.addGauge('queue.waiting', () => this.#get(GroupRegistry).getGroups().reduce((sum, group) => sum + group.dispatcher.waitingCount, 0));
+		metrics.addGauge('transactions.open', () => this.#getService(TransactionRegistry).size);
+		metrics.addGauge('queue.waiting', () => this.#getService(GroupRegistry).getGroups().reduce((sum, group) => sum + group.dispatcher.waitingCount, 0));
 	}
 
 	#startTasks(): void {
-		const configuration = this.#get(ConfigurationReplica);
-		const membership = this.#get(Membership);
-		const groups = this.#get(GroupRegistry);
-		const exchange = this.#get(PeerStateExchange);
-		const gate = this.#get(AccessGate);
-		const registry = this.#get(TransactionRegistry);
+		const configuration = this.#getService(ConfigurationReplica);
+		const membership = this.#getService(Membership);
+		const groups = this.#getService(GroupRegistry);
+		const exchange = this.#getService(PeerStateExchange);
+		const gate = this.#getService(CallerAuthenticator);
+		const registry = this.#getService(TransactionRegistry);
 		const configureGroups = () => {
 			groups.applyConfiguration(configuration.current, membership.getVms(), membership.countEndpointSharers(configuration.current.getVoterNames()));
 		};
@@ -176,30 +176,30 @@
 				sweep();
 			}
 		});
-		this.#repeat('store poll', pauses.storePoll, async () => {
+		this.#startTask('store poll', taskDelaysMs.storePoll, async () => {
 			await configuration.pollStore();
 		});
-		this.#repeat('VM list', pauses.vmList, async () => {
+		this.#startTask('VM list', taskDelaysMs.vmList, async () => {
 			const known = membership.peers;
 			await membership.refreshVmList();
 			configureGroups();
 			await Promise.all(membership.peers.filter(peer => !known.includes(peer)).map(async peer => exchange.pollPeer(peer)));
 		});
-		this.#repeat('exchange', this.settings.peers.exchange_ms, async () => exchange.pollPeers());
-		this.#repeat('balance', pauses.balance, async () => this.#get(AccountLimiter).rebalanceLeases());
+		this.#startTask('exchange', this.settings.peers.exchange_ms, async () => exchange.pollPeers());
+		this.#startTask('balance', taskDelaysMs.balance, async () => this.#getService(AccountLimiter).rebalanceLeases());
 		// One timer for whatever is due many times a second: each wake-up of an idle process costs more than the work.
-		this.#repeat('tick', pauses.tick, () => {
-			void this.#get(LeaseRegistry).renewOrSeek();
-			void this.#get(AccountLimiter).reportDemand();
+		this.#startTask('tick', taskDelaysMs.tick, () => {
+			void this.#getService(LeaseRegistry).renewOrSeek();
+			void this.#getService(AccountLimiter).reportDemand();
 			groups.checkGroups();
 			exchange.pollWatchersOfSuspectedGroups();
 		});
-		this.#repeat('sweep', pauses.sweep, sweep);
-		this.#repeat('voters', pauses.voters, async () => this.#get(VoterReconciler).reconcile());
+		this.#startTask('sweep', taskDelaysMs.sweep, sweep);
+		this.#startTask('voters', taskDelaysMs.voters, async () => this.#getService(VoterReconciler).reconcile());
 	}
 
-	#repeat(name: string, pauseMs: number, task: () => Promise<void> | void): void {
-		const repeated = new RepeatedTask(name, () => pauseMs, task, this.#get(Logger));
+	#startTask(name: string, delayMs: number, task: () => Promise<void> | void): void {
+		const repeated = new RepeatedTask(name, () => delayMs, task, this.#getService(Logger));
 		this.#tasks.push(repeated);
 		repeated.start();
 	}
--- a/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
+++ b/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
@@ -1,14 +1,14 @@
 import {create} from '@bufbuild/protobuf';
 import test from 'ava';
 import {ExecuteRequestSchema} from '@chicorysaddle/protocol';
-import {EndpointConnection} from '@chicorysaddle/proxy';
+import {HttpEndpointConnection} from '@chicorysaddle/proxy';
 import {createDeployment} from '../../stand-ins/index.js';
 
 const write = create(ExecuteRequestSchema, {
 	requestId: 'r', statement: 'put', parameters: {key: 'k', value: 'v'}, write: true, term: 1n,
 });
 
-async function getStage(answer: ReturnType<EndpointConnection['execute']>): Promise<string> {
+async function getStage(answer: ReturnType<HttpEndpointConnection['execute']>): Promise<string> {
 	const result = await answer;
 	return result.caseOf({Left: ({stage}): string => stage, Right: () => 'answered'});
 }
@@ -19,13 +19,13 @@
 	});
 	t.teardown(deployment.stop);
 	const [server] = deployment.servers;
-	const connect = () => new EndpointConnection(server!.address, {connectTimeoutMs: 500});
+	const connect = () => new HttpEndpointConnection(server!.address, {connectTimeoutMs: 500});
 	const connection = connect();
 	t.is(await getStage(connection.execute(write, {timeoutMs: 1000})), 'answered');
 
 	server!.instance.health = 'hung';
 	t.is(await getStage(connection.execute(write, {timeoutMs: 30})), 'unanswered', 'given up on while it may be running');
-	t.is(connection.losses, 1);
+	t.is(connection.disconnectCount, 1);
 	const running = connection.execute(write, {timeoutMs: 1000});
 	connection.close();
 	t.is(await getStage(running), 'unanswered', 'closed while it may be running');
