--- a/packages/cli/src/commands/command-context.ts
+++ b/packages/cli/src/commands/command-context.ts
@@ -6,9 +6,9 @@
 
 /** Exit codes of every command. */
 export const exitCodes = {
-	done: 0,
+	success: 0,
 	/** The sheet or the arguments are not good; nothing was changed. */
-	bad: 1,
+	invalidInput: 1,
 	usage: 2,
 	/** Another change was first; nothing was changed. */
 	conflict: 3,
@@ -26,7 +26,7 @@
 	readonly wait?: number;
 };
 
-const defaultProxy = '127.0.0.1:7002';
+const defaultProxyAddress = '127.0.0.1:7002';
 const defaultWaitSeconds = 15;
 
 /** What a command works with: the proxy, and where its results go. */
@@ -37,7 +37,7 @@
 
 	constructor(flags: CommonFlags) {
 		this.client = createOperatorClient({
-			proxy: flags.proxy ?? process.env.CHICORYSADDLE_PROXY ?? defaultProxy,
+			proxy: flags.proxy ?? process.env.CHICORYSADDLE_PROXY ?? defaultProxyAddress,
 			token: flags.token ?? process.env.CHICORYSADDLE_TOKEN ?? '',
 		});
 		this.#isJson = flags.json ?? false;
@@ -45,7 +45,7 @@
 	}
 
 	/** Prints a result: as one JSON object, or as lines. */
-	print(result: Readonly<Record<string, unknown>>, lines: readonly string[]): void {
+	printResult(result: Readonly<Record<string, unknown>>, lines: readonly string[]): void {
 		const text = this.#isJson ? JSON.stringify(result, (_key, value: unknown) => (typeof value === 'bigint' ? Number(value) : value)) : lines.join('\n');
 		process.stdout.write(`${text}\n`);
 	}
@@ -53,28 +53,28 @@
 	/** Applies rows against the version they were planned from, waits and prints what came of it. */
 	async applyRows(rows: readonly StoredRow[], summary: string, expectedVersion: bigint, details: Readonly<Record<string, unknown>> = {}): Promise<number> {
 		if (rows.length === 0) {
-			this.print({...details, result: 'unchanged', version: expectedVersion}, ['nothing to change']);
-			return exitCodes.done;
+			this.printResult({...details, result: 'unchanged', version: expectedVersion}, ['nothing to change']);
+			return exitCodes.success;
 		}
 
 		const author = process.env.USER ?? 'operator';
 		const outcome = await applyChange(this.client, {
 			expectedVersion, author, summary, rows,
 		}, {
-			limitMs: this.#waitMs,
+			waitTimeoutMs: this.#waitMs,
 			onProgress(inForce, total) {
 				process.stderr.write(`in force at ${inForce} of ${total} VMs\n`);
 			},
 		});
-		const handlers = {
-			'in-force': exitCodes.done, pending: exitCodes.pending, conflict: exitCodes.conflict,
+		const exitCodeByKind = {
+			'in-force': exitCodes.success, pending: exitCodes.pending, conflict: exitCodes.conflict,
 		};
-		this.print({...details, result: outcome.kind, ...outcome}, describeOutcome(outcome));
-		return handlers[outcome.kind];
+		this.printResult({...details, result: outcome.kind, ...outcome}, formatOutcome(outcome));
+		return exitCodeByKind[outcome.kind];
 	}
 }
 
-function describeOutcome(outcome: Awaited<ReturnType<typeof applyChange>>): string[] {
+function formatOutcome(outcome: Awaited<ReturnType<typeof applyChange>>): string[] {
 	if (outcome.kind === 'in-force') {
 		return [`version ${outcome.version} is in force at all ${outcome.vms.length} VMs`];
 	}
@@ -84,6 +84,6 @@
 	}
 
 	const {other} = outcome;
-	const by = other === undefined ? '' : `: version ${other.version} by ${other.author}, "${other.summary}"`;
-	return [`not applied; another change was first${by}. The configuration is at version ${outcome.version}; plan again.`];
+	const description = other === undefined ? '' : `: version ${other.version} by ${other.author}, "${other.summary}"`;
+	return [`not applied; another change was first${description}. The configuration is at version ${outcome.version}; plan again.`];
 }
--- a/packages/cli/src/commands/row-commands.ts
+++ b/packages/cli/src/commands/row-commands.ts
@@ -6,7 +6,7 @@
 import {getKeyHash} from '../sheet/index.js';
 import {CommandContext, type CommonFlags, exitCodes} from './command-context.js';
 
-const keyBytes = 24;
+const keyLengthBytes = 24;
 
 /** Options of commands about limits. */
 export type LimitFlags = CommonFlags & {readonly rate?: number; readonly burst?: number; readonly weight?: number};
@@ -16,51 +16,51 @@
 	readonly group?: string; readonly address?: string; readonly zone?: string; readonly slots?: number; readonly connections?: number;
 };
 
-type Found<K extends RowKind> = {readonly context: CommandContext; readonly version: bigint; readonly value: RowValues[K] | undefined};
+type RowLookup<K extends RowKind> = {readonly context: CommandContext; readonly version: bigint; readonly value: RowValues[K] | undefined};
 
-async function findRow<K extends RowKind>(flags: CommonFlags, kind: K, name: string): Promise<Found<K>> {
+async function readRow<K extends RowKind>(flags: CommonFlags, kind: K, name: string): Promise<RowLookup<K>> {
 	const context = new CommandContext(flags);
 	const {version, rows} = await context.client.getConfiguration({});
 	const row = rows.find(({key}) => key === `${kind}/${name}`);
 	return {context, version, value: row?.value === undefined ? undefined : JSON.parse(row.value) as RowValues[K]};
 }
 
-function refuse(message: string): number {
+function reportInvalidInput(message: string): number {
 	process.stderr.write(`${message}\n`);
-	return exitCodes.bad;
+	return exitCodes.invalidInput;
 }
 
 /** Creates an account. */
 export async function createAccount(name: string, flags: LimitFlags): Promise<number> {
-	const {context, version, value} = await findRow(flags, 'account', name);
+	const {context, version, value} = await readRow(flags, 'account', name);
 	if (value !== undefined) {
-		return refuse(`client account "${name}" is there already`);
+		return reportInvalidInput(`client account "${name}" is there already`);
 	}
 
 	const {rate, burst, weight = 1} = flags;
 	return rate === undefined || burst === undefined
-		? refuse('--rate and --burst are needed')
+		? reportInvalidInput('--rate and --burst are needed')
 		: context.applyRows([formatRow('account', name, {rate: Number(rate), burst: Number(burst), weight: Number(weight)})], `create client account ${name}`, version);
 }
 
 /** Changes the limits of an account. */
-export async function limitAccount(name: string, flags: LimitFlags): Promise<number> {
-	const {context, version, value} = await findRow(flags, 'account', name);
+export async function setAccountLimits(name: string, flags: LimitFlags): Promise<number> {
+	const {context, version, value} = await readRow(flags, 'account', name);
 	return value === undefined
-		? refuse(`no client account "${name}"`)
+		? reportInvalidInput(`no client account "${name}"`)
 		: context.applyRows([formatRow('account', name, {
 			rate: Number(flags.rate ?? value.rate), burst: Number(flags.burst ?? value.burst), weight: Number(flags.weight ?? value.weight),
 		})], `limit client account ${name}`, version);
 }
 
 /** Gives an account a new key, which is printed once and stored as a hash only. */
-export async function giveKey(account: string, flags: CommonFlags & {readonly label?: string}): Promise<number> {
-	const {context, version, value} = await findRow(flags, 'account', account);
+export async function createKey(account: string, flags: CommonFlags & {readonly label?: string}): Promise<number> {
+	const {context, version, value} = await readRow(flags, 'account', account);
 	if (value === undefined) {
-		return refuse(`no client account "${account}"`);
+		return reportInvalidInput(`no client account "${account}"`);
 	}
 
-	const key = `csk_${randomBytes(keyBytes).toString('base64url')}`;
+	const key = `csk_${randomBytes(keyLengthBytes).toString('base64url')}`;
 	const hash = getKeyHash(key);
 	process.stderr.write(`key ${key}\n`);
 	return context.applyRows([formatRow('key', hash, {account, label: flags.label ?? ''})], `give a key to ${account}`, version, {key, hash});
@@ -69,13 +69,13 @@
 /** Withdraws a key, given itself or as "sha256:" and its hash. */
 export async function withdrawKey(key: string, flags: CommonFlags): Promise<number> {
 	const hash = getKeyHash(key);
-	const {context, version, value} = await findRow(flags, 'key', hash);
-	return value === undefined ? refuse('no such key') : context.applyRows([formatRow('key', hash, undefined)], `withdraw a key of ${value.account}`, version);
+	const {context, version, value} = await readRow(flags, 'key', hash);
+	return value === undefined ? reportInvalidInput('no such key') : context.applyRows([formatRow('key', hash, undefined)], `withdraw a key of ${value.account}`, version);
 }
 
 /** Adds an endpoint, or takes back that it leaves. */
-export async function joinEndpoint(name: string, flags: EndpointFlags): Promise<number> {
-	const {context, version, value} = await findRow(flags, 'endpoint', name);
+export async function addEndpoint(name: string, flags: EndpointFlags): Promise<number> {
+	const {context, version, value} = await readRow(flags, 'endpoint', name);
 	const endpoint: Partial<Endpoint> = {
 		...value,
 		...(flags.group === undefined ? {} : {group: flags.group}),
@@ -89,7 +89,7 @@
 }
 
 /** Marks an endpoint as leaving: it gets nothing new. */
-export async function leaveEndpoint(name: string, flags: CommonFlags): Promise<number> {
-	const {context, version, value} = await findRow(flags, 'endpoint', name);
-	return value === undefined ? refuse(`no endpoint "${name}"`) : context.applyRows([formatRow('endpoint', name, {...value, state: 'leaving'})], `endpoint ${name} leaves`, version);
+export async function drainEndpoint(name: string, flags: CommonFlags): Promise<number> {
+	const {context, version, value} = await readRow(flags, 'endpoint', name);
+	return value === undefined ? reportInvalidInput(`no endpoint "${name}"`) : context.applyRows([formatRow('endpoint', name, {...value, state: 'leaving'})], `endpoint ${name} leaves`, version);
 }
--- a/packages/cli/src/commands/sheet-commands.ts
+++ b/packages/cli/src/commands/sheet-commands.ts
@@ -2,7 +2,7 @@
 import process from 'node:process';
 import {type Either, Left} from 'purify-ts';
 import {
-	formatProblem, parseSheet, type PlannedChange, planSheet, type SheetProblem, type SheetRow,
+	formatSheetProblem, parseSheet, type PlannedChange, planSheet, type SheetProblem, type SheetRow,
 } from '../sheet/index.js';
 import {CommandContext, type CommonFlags, exitCodes} from './command-context.js';
 
@@ -14,53 +14,53 @@
 	}
 }
 
-function printProblems(file: string, problems: readonly SheetProblem[], flags: CommonFlags): number {
+function reportProblems(file: string, problems: readonly SheetProblem[], flags: CommonFlags): number {
 	if (flags.json) {
 		process.stdout.write(`${JSON.stringify({result: 'bad', file, problems})}\n`);
 	} else {
-		process.stderr.write(`${problems.map(problem => formatProblem(file, problem)).join('\n')}\n${problems.length} problems; nothing was changed\n`);
+		process.stderr.write(`${problems.map(problem => formatSheetProblem(file, problem)).join('\n')}\n${problems.length} problems; nothing was changed\n`);
 	}
 
-	return exitCodes.bad;
+	return exitCodes.invalidInput;
 }
 
-function describeChange({row, action, before}: PlannedChange): string {
+function formatChange({row, action, before}: PlannedChange): string {
 	return `${action} ${row.key}${before === undefined ? '' : ` from ${before}`}${row.value === undefined ? '' : ` to ${row.value}`}`;
 }
 
 /** Checks a sheet by itself. */
-export async function checkSheet(file: string, flags: CommonFlags): Promise<number> {
+export async function checkSheetFile(file: string, flags: CommonFlags): Promise<number> {
 	const sheet = await readSheet(file);
 	return sheet.caseOf({
-		Left: problems => printProblems(file, problems, flags),
+		Left: problems => reportProblems(file, problems, flags),
 		Right(rows) {
-			new CommandContext(flags).print({result: 'good', file, rows: rows.length}, [`${file}: ${rows.length} rows are good`]);
-			return exitCodes.done;
+			new CommandContext(flags).printResult({result: 'good', file, rows: rows.length}, [`${file}: ${rows.length} rows are good`]);
+			return exitCodes.success;
 		},
 	});
 }
 
 /** Prints what a sheet would change. */
 export async function planSheetFile(file: string, flags: CommonFlags): Promise<number> {
-	return withPlan(file, flags, async (context, version, changes) => {
-		context.print({result: 'planned', version, changes}, [`${changes.length} changes to version ${version}`, ...changes.map(change => describeChange(change))]);
-		return exitCodes.done;
+	return runWithPlan(file, flags, async (context, version, changes) => {
+		context.printResult({result: 'planned', version, changes}, [`${changes.length} changes to version ${version}`, ...changes.map(change => formatChange(change))]);
+		return exitCodes.success;
 	});
 }
 
 /** Applies a sheet, whole or not at all. */
 export async function applySheetFile(file: string, flags: CommonFlags): Promise<number> {
-	return withPlan(file, flags, async (context, version, changes) => context.applyRows(changes.map(({row}) => row), `sheet ${file}`, version, {changes: changes.length}));
+	return runWithPlan(file, flags, async (context, version, changes) => context.applyRows(changes.map(({row}) => row), `sheet ${file}`, version, {changes: changes.length}));
 }
 
-async function withPlan(file: string, flags: CommonFlags, use: (context: CommandContext, version: bigint, changes: readonly PlannedChange[]) => Promise<number>): Promise<number> {
+async function runWithPlan(file: string, flags: CommonFlags, runAction: (context: CommandContext, version: bigint, changes: readonly PlannedChange[]) => Promise<number>): Promise<number> {
 	const sheet = await readSheet(file);
 	if (sheet.isLeft()) {
-		return printProblems(file, sheet.extract(), flags);
+		return reportProblems(file, sheet.extract(), flags);
 	}
 
 	const context = new CommandContext(flags);
 	const {version, rows} = await context.client.getConfiguration({});
 	const plan = planSheet(sheet.unsafeCoerce(), rows);
-	return plan.isLeft() ? printProblems(file, plan.extract(), flags) : use(context, version, plan.unsafeCoerce());
+	return plan.isLeft() ? reportProblems(file, plan.extract(), flags) : runAction(context, version, plan.unsafeCoerce());
 }
--- a/packages/cli/src/explain/log-line.ts
+++ b/packages/cli/src/explain/log-line.ts
@@ -8,21 +8,21 @@
 };
 
 /** Fields that every line carries and that explain nothing. */
-const hiddenFields = new Set(['vm', 'logLevel']);
+const omittedFields = new Set(['vm', 'logLevel']);
 
 /**
  * Reads one line of a log; what stands before the JSON object is left out.
  * @returns The decision, or undefined where the line holds none.
  */
 export function parseLogLine(text: string): LogLine | undefined {
-	const start = text.indexOf('{"context":');
-	if (start === -1) {
+	const jsonStart = text.indexOf('{"context":');
+	if (jsonStart === -1) {
 		return undefined;
 	}
 
 	try {
-		const {context, message, time} = JSON.parse(text.slice(start)) as {context: Record<string, unknown>; message: string; time: number};
-		const fields = Object.fromEntries(Object.entries(context).filter(([name]) => !hiddenFields.has(name)));
+		const {context, message, time} = JSON.parse(text.slice(jsonStart)) as {context: Record<string, unknown>; message: string; time: number};
+		const fields = Object.fromEntries(Object.entries(context).filter(([name]) => !omittedFields.has(name)));
 		return {
 			time, vm: typeof context.vm === 'string' ? context.vm : '', event: message, fields,
 		};
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,12 +1,12 @@
 import process from 'node:process';
 import sade from 'sade';
 import {
-	applySheetFile, checkSheet, type CommonFlags, createAccount, type EndpointFlags, exitCodes, explain, giveKey, joinEndpoint, leaveEndpoint, limitAccount, type LimitFlags,
-	listAccounts, planSheetFile, showConfiguration, showHistory, showStatus, showTop, type TopFlags, withdrawKey,
+	addEndpoint, applySheetFile, checkSheetFile, type CommonFlags, createAccount, createKey, drainEndpoint, type EndpointFlags, exitCodes, type LimitFlags, planSheetFile, setAccountLimits,
+	showAccounts, showConfiguration, showExplanation, showHistory, showStatus, showTopView, type TopFlags, withdrawKey,
 } from './commands/index.js';
 
 /** Ends the process with the exit code of a command. */
-async function finish(command: Promise<number>): Promise<void> {
+async function setExitCode(command: Promise<number>): Promise<void> {
 	try {
 		process.exitCode = await command;
 	} catch (error) {
@@ -26,35 +26,35 @@
 
 program.command('sheet check <file>', 'Check a sheet by itself')
 	.example('sheet check morning.csv')
-	.action(async (file: string, flags: CommonFlags) => finish(checkSheet(file, flags)));
+	.action(async (file: string, flags: CommonFlags) => setExitCode(checkSheetFile(file, flags)));
 program.command('sheet plan <file>', 'Print what a sheet would change')
 	.example('sheet plan morning.csv')
-	.action(async (file: string, flags: CommonFlags) => finish(planSheetFile(file, flags)));
+	.action(async (file: string, flags: CommonFlags) => setExitCode(planSheetFile(file, flags)));
 program.command('sheet apply <file>', 'Apply a sheet, whole or not at all, and wait until it is in force')
 	.example('sheet apply morning.csv --wait 30')
-	.action(async (file: string, flags: CommonFlags) => finish(applySheetFile(file, flags)));
+	.action(async (file: string, flags: CommonFlags) => setExitCode(applySheetFile(file, flags)));
 program.command('account create <name>', 'Create a client account')
 	.option('--rate', 'Requests a second')
 	.option('--burst', 'Largest burst')
 	.option('--weight', 'Weight in queues')
 	.example('account create harbour-homes --rate 20 --burst 40')
-	.action(async (name: string, flags: LimitFlags) => finish(createAccount(name, flags)));
+	.action(async (name: string, flags: LimitFlags) => setExitCode(createAccount(name, flags)));
 program.command('account limit <name>', 'Change the limits of a client account')
 	.option('--rate', 'Requests a second')
 	.option('--burst', 'Largest burst')
 	.option('--weight', 'Weight in queues')
 	.example('account limit harbour-homes --rate 30')
-	.action(async (name: string, flags: LimitFlags) => finish(limitAccount(name, flags)));
+	.action(async (name: string, flags: LimitFlags) => setExitCode(setAccountLimits(name, flags)));
 program.command('account show <name>', 'Print a client account with the hashes of its keys')
-	.action(async (name: string, flags: CommonFlags) => finish(listAccounts(flags, name)));
+	.action(async (name: string, flags: CommonFlags) => setExitCode(showAccounts(flags, name)));
 program.command('account list', 'Print all client accounts')
-	.action(async (flags: CommonFlags) => finish(listAccounts(flags)));
+	.action(async (flags: CommonFlags) => setExitCode(showAccounts(flags)));
 program.command('key give <account>', 'Give a client account a new key, printed once')
 	.option('--label', 'Name to tell keys apart')
 	.example('key give harbour-homes --label autumn')
-	.action(async (account: string, flags: CommonFlags & {label?: string}) => finish(giveKey(account, flags)));
+	.action(async (account: string, flags: CommonFlags & {label?: string}) => setExitCode(createKey(account, flags)));
 program.command('key withdraw <key>', 'Withdraw a key, given itself or as sha256:HASH')
-	.action(async (key: string, flags: CommonFlags) => finish(withdrawKey(key, flags)));
+	.action(async (key: string, flags: CommonFlags) => setExitCode(withdrawKey(key, flags)));
 program.command('endpoint join <name>', 'Add an endpoint, or take back that it leaves')
 	.option('--group', 'Database group')
 	.option('--address', 'Address as host:port')
@@ -62,22 +62,22 @@
 	.option('--slots', 'Statements that it runs at once')
 	.option('--connections', 'Connections that it takes')
 	.example('endpoint join casefile-a-4 --group casefile-a --address 10.0.0.9:5400 --zone lorient --slots 5 --connections 30')
-	.action(async (name: string, flags: EndpointFlags) => finish(joinEndpoint(name, flags)));
+	.action(async (name: string, flags: EndpointFlags) => setExitCode(addEndpoint(name, flags)));
 program.command('endpoint leave <name>', 'Mark an endpoint as leaving: it gets no new work')
-	.action(async (name: string, flags: CommonFlags) => finish(leaveEndpoint(name, flags)));
+	.action(async (name: string, flags: CommonFlags) => setExitCode(drainEndpoint(name, flags)));
 program.command('status', 'Print the state of a proxy and of the others as it sees them')
-	.action(async (flags: CommonFlags) => finish(showStatus(flags)));
+	.action(async (flags: CommonFlags) => setExitCode(showStatus(flags)));
 program.command('top', 'Show a live view of one VM')
 	.option('--every', 'Seconds between two pictures', 2)
 	.option('--rounds', 'Number of pictures; without end where absent')
-	.action(async (flags: TopFlags) => finish(showTop(flags)));
+	.action(async (flags: TopFlags) => setExitCode(showTopView(flags)));
 program.command('explain <id>', 'Print what led to the answer of a request, from logs: files, or standard input')
 	.example('explain 5c0e7a21d94b36f8 vm-1.log vm-2.log')
-	.action(async (id: string, flags: CommonFlags & {readonly _: readonly string[]}) => finish(explain(id, flags._)));
+	.action(async (id: string, flags: CommonFlags & {readonly _: readonly string[]}) => setExitCode(showExplanation(id, flags._)));
 program.command('config show', 'Print the configuration in force')
-	.action(async (flags: CommonFlags) => finish(showConfiguration(flags)));
+	.action(async (flags: CommonFlags) => setExitCode(showConfiguration(flags)));
 program.command('config history', 'Print the latest changes')
 	.option('--limit', 'Number of changes', 20)
-	.action(async (flags: CommonFlags & {limit?: number}) => finish(showHistory(flags)));
+	.action(async (flags: CommonFlags & {limit?: number}) => setExitCode(showHistory(flags)));
 
 program.parse(process.argv);
--- a/packages/cli/src/operator/change-applier.ts
+++ b/packages/cli/src/operator/apply-change.ts
@@ -5,7 +5,7 @@
 import {type OperatorClient} from './operator-client.js';
 
 /** A change to apply. */
-export type ChangeStructure = {
+export type ChangeRequest = {
 	/** Version that the change was planned from. */
 	readonly expectedVersion: bigint;
 	readonly author: string;
@@ -24,18 +24,18 @@
 /** Options of waiting for a change. */
 export type ApplyOptions = {
 	/** Longest wait for the change to be in force, in milliseconds. */
-	readonly limitMs: number;
+	readonly waitTimeoutMs: number;
 	/** Told how far the change has come. */
 	onProgress(inForce: number, total: number): void;
 };
 
-const pollMs = 100;
+const pollIntervalMs = 100;
 const callTimeoutMs = 15_000;
-const attempts = 5;
+const maxSendAttempts = 5;
 
 /** Applies a change and waits until it is in force everywhere. */
-export async function applyChange(client: OperatorClient, change: ChangeStructure, options: ApplyOptions): Promise<ApplyOutcome> {
-	const until = performance.now() + options.limitMs;
+export async function applyChange(client: OperatorClient, change: ChangeRequest, options: ApplyOptions): Promise<ApplyOutcome> {
+	const deadline = performance.now() + options.waitTimeoutMs;
 	const response = await sendChange(client, change);
 	if (response.result === 'conflict') {
 		return {kind: 'conflict', version: response.version, other: response.conflicting};
@@ -49,33 +49,33 @@
 			return {kind: 'in-force', version, vms: inForce};
 		}
 
-		if (performance.now() >= until) {
+		if (performance.now() >= deadline) {
 			return {
 				kind: 'pending', version, vms: inForce, pending,
 			};
 		}
 
 		await new Promise(resolve => {
-			setTimeout(resolve, pollMs);
+			setTimeout(resolve, pollIntervalMs);
 		});
 	}
 }
 
 /** Sends a change again under the same identity while its answer is lost. */
-async function sendChange(client: OperatorClient, change: ChangeStructure): Promise<Awaited<ReturnType<OperatorClient['applyChange']>>> {
+async function sendChange(client: OperatorClient, change: ChangeRequest): Promise<Awaited<ReturnType<OperatorClient['applyChange']>>> {
 	const rows = change.rows.map(row => (row.value === undefined ? {key: row.key} : {key: row.key, value: row.value}));
 	const writeId = createHash('sha256').update(JSON.stringify([String(change.expectedVersion), change.author, rows])).digest('base64url');
 	for (let attempt = 1; ; attempt += 1) {
 		try {
 			return await client.applyChange({...change, rows, writeId}, {timeoutMs: callTimeoutMs});
 		} catch (error) {
-			const isLost = error instanceof ConnectError && (error.code === Code.Unavailable || error.code === Code.DeadlineExceeded);
-			if (!isLost || attempt >= attempts) {
+			const isResponseLost = error instanceof ConnectError && (error.code === Code.Unavailable || error.code === Code.DeadlineExceeded);
+			if (!isResponseLost || attempt >= maxSendAttempts) {
 				throw error;
 			}
 
 			await new Promise(resolve => {
-				setTimeout(resolve, pollMs * attempt);
+				setTimeout(resolve, pollIntervalMs * attempt);
 			});
 		}
 	}
--- a/packages/cli/src/operator/index.ts
+++ b/packages/cli/src/operator/index.ts
@@ -1,2 +1,2 @@
 export * from './operator-client.js';
-export * from './change-applier.js';
+export * from './apply-change.js';
--- a/packages/cli/src/operator/operator-client.ts
+++ b/packages/cli/src/operator/operator-client.ts
@@ -3,7 +3,7 @@
 import {OperatorService} from '@chicorysaddle/protocol';
 
 /** Where an operator's proxy is. */
-export type OperatorOptions = {
+export type OperatorClientOptions = {
 	/** Address of an operator port as host:port. */
 	readonly proxy: string;
 	readonly token: string;
@@ -12,7 +12,7 @@
 export type OperatorClient = Client<typeof OperatorService>;
 
 /** Returns a client of a proxy's operator port. */
-export function createOperatorClient({proxy, token}: OperatorOptions): OperatorClient {
+export function createOperatorClient({proxy, token}: OperatorClientOptions): OperatorClient {
 	return createClient(OperatorService, createConnectTransport({
 		baseUrl: `http://${proxy}`,
 		httpVersion: '1.1',
--- a/packages/cli/src/sheet/parse-sheet.ts
+++ b/packages/cli/src/sheet/parse-sheet.ts
@@ -1,12 +1,12 @@
 import {CsvError, parse} from 'csv-parse/sync';
 import {type Either, Left, Right} from 'purify-ts';
 import {
-	isSheetKind, requiredColumns, type SheetColumn, sheetColumns, states,
+	isSheetRowKind, requiredColumns, rowStates, type SheetColumn, sheetColumns,
 } from './sheet-columns.js';
 import {type SheetProblem} from './sheet-problem.js';
 import {getCell, getColumnNumber, type SheetRow} from './sheet-row.js';
 
-type RawRecord = {readonly record: string[]; readonly info: {readonly lines: number}};
+type CsvRecord = {readonly record: string[]; readonly info: {readonly lines: number}};
 
 type Header = ReadonlyMap<SheetColumn, number>;
 
@@ -16,13 +16,13 @@
  * @returns Its rows, or everything that is wrong with it.
  */
 export function parseSheet(bytes: Uint8Array): Either<SheetProblem[], SheetRow[]> {
-	return decodeText(bytes).chain(text => readRecords(text)).chain(records => {
-		const [first, ...rest] = records;
-		if (first === undefined) {
+	return decodeText(bytes).chain(text => parseRecords(text)).chain(records => {
+		const [headerRecord, ...rest] = records;
+		if (headerRecord === undefined) {
 			return Left([{line: 1, column: 0, message: 'the sheet is empty'}]);
 		}
 
-		return parseHeader(first.record).chain(header => parseRows(header, rest));
+		return parseHeader(headerRecord.record).chain(header => parseRows(header, rest));
 	});
 }
 
@@ -34,12 +34,12 @@
 	}
 }
 
-function readRecords(text: string): Either<SheetProblem[], RawRecord[]> {
+function parseRecords(text: string): Either<SheetProblem[], CsvRecord[]> {
 	try {
 		const records: unknown = parse(text, {
 			bom: true, info: true, relaxColumnCount: true, skipEmptyLines: true, trim: true,
 		});
-		return Right(records as RawRecord[]);
+		return Right(records as CsvRecord[]);
 	} catch (error) {
 		const line = error instanceof CsvError ? Number(error.lines ?? 1) : 1;
 		const column = error instanceof CsvError ? Number(error.index ?? -1) + 1 : 0;
@@ -68,14 +68,14 @@
 	return problems.length > 0 ? Left(problems) : Right(header);
 }
 
-function parseRows(header: Header, records: readonly RawRecord[]): Either<SheetProblem[], SheetRow[]> {
+function parseRows(header: Header, records: readonly CsvRecord[]): Either<SheetProblem[], SheetRow[]> {
 	const problems: SheetProblem[] = [];
 	const rows: SheetRow[] = [];
 	for (const {record, info} of records) {
 		// The parser counts up to the last line of a record; quoted cells may span several.
 		const line = info.lines - record.join('').split('\n').length + 1;
-		const row = parseRow(header, record, line);
-		row.ifLeft(found => problems.push(...found)).ifRight(good => rows.push(good));
+		const parsedRow = parseRow(header, record, line);
+		parsedRow.ifLeft(rowProblems => problems.push(...rowProblems)).ifRight(validRow => rows.push(validRow));
 	}
 
 	problems.push(...findDuplicates(rows));
@@ -89,7 +89,7 @@
 	}
 
 	const kind = (cells.kind ?? '').toLowerCase();
-	if (!isSheetKind(kind)) {
+	if (!isSheetRowKind(kind)) {
 		return Left([{line, column: header.get('kind') ?? 0, message: `unknown kind "${cells.kind ?? ''}"; known: ${Object.keys(requiredColumns).join(', ')}`}]);
 	}
 
@@ -103,21 +103,21 @@
 
 function checkCells(row: SheetRow): SheetProblem[] {
 	const problems: SheetProblem[] = [];
-	const add = (column: SheetColumn, message: string) => {
+	const addProblem = (column: SheetColumn, message: string) => {
 		problems.push({line: row.line, column: getColumnNumber(row, column), message});
 	};
 
-	const isEnding = ['closed', 'withdrawn', 'gone'].includes(getCell(row, 'state'));
-	const required = isEnding ? requiredColumns[row.kind].slice(0, row.kind === 'key' ? 2 : 1) : requiredColumns[row.kind];
+	const isRemoval = ['closed', 'withdrawn', 'gone'].includes(getCell(row, 'state'));
+	const required = isRemoval ? requiredColumns[row.kind].slice(0, row.kind === 'key' ? 2 : 1) : requiredColumns[row.kind];
 	for (const column of required) {
 		if (getCell(row, column) === '') {
-			add(column, `a row of kind "${row.kind}" needs "${column}"`);
+			addProblem(column, `a row of kind "${row.kind}" needs "${column}"`);
 		}
 	}
 
 	const state = getCell(row, 'state');
-	if (state !== '' && !states[row.kind].includes(state)) {
-		add('state', `unknown state "${state}"; known: ${states[row.kind].join(', ')}`);
+	if (state !== '' && !rowStates[row.kind].includes(state)) {
+		addProblem('state', `unknown state "${state}"; known: ${rowStates[row.kind].join(', ')}`);
 	}
 
 	checkNumber('rate', value => value > 0, 'a number above zero');
@@ -127,35 +127,35 @@
 	checkNumber('connections', value => Number.isInteger(value) && value > 0, 'a whole number above zero');
 	return problems;
 
-	function checkNumber(column: SheetColumn, isGood: (value: number) => boolean, expected: string): void {
+	function checkNumber(column: SheetColumn, isValid: (value: number) => boolean, expected: string): void {
 		const cell = getCell(row, column);
-		if (cell !== '' && !isGood(Number(cell))) {
-			add(column, `"${cell}" is not ${expected}`);
+		if (cell !== '' && !isValid(Number(cell))) {
+			addProblem(column, `"${cell}" is not ${expected}`);
 		}
 	}
 }
 
 /** Returns what a row is about; two rows of a sheet about the same thing are an error. */
-function getSubject(row: SheetRow): {readonly column: SheetColumn; readonly id: string; readonly text: string} {
+function getRowIdentity(row: SheetRow): {readonly column: SheetColumn; readonly id: string; readonly description: string} {
 	return row.kind === 'key'
-		? {column: 'key', id: `key ${getCell(row, 'key')}`, text: 'this key'}
-		: {column: 'name', id: `${row.kind} ${getCell(row, 'name')}`, text: `${row.kind} "${getCell(row, 'name')}"`};
+		? {column: 'key', id: `key ${getCell(row, 'key')}`, description: 'this key'}
+		: {column: 'name', id: `${row.kind} ${getCell(row, 'name')}`, description: `${row.kind} "${getCell(row, 'name')}"`};
 }
 
 function findDuplicates(rows: readonly SheetRow[]): SheetProblem[] {
-	const first = new Map<string, SheetRow>();
+	const firstRowById = new Map<string, SheetRow>();
 	const problems: SheetProblem[] = [];
 	for (const row of rows) {
-		const {column, id, text} = getSubject(row);
-		const earlier = first.get(id);
+		const {column, id, description} = getRowIdentity(row);
+		const earlier = firstRowById.get(id);
 		if (earlier === undefined) {
-			first.set(id, row);
+			firstRowById.set(id, row);
 			continue;
 		}
 
 		const isOtherAccount = row.kind === 'key' && getCell(earlier, 'account') !== getCell(row, 'account');
-		const where = isOtherAccount ? `for another client account, "${getCell(earlier, 'account')}"` : 'already';
-		problems.push({line: row.line, column: getColumnNumber(row, column), message: `${text} stands ${where} on line ${earlier.line}`});
+		const duplication = isOtherAccount ? `for another client account, "${getCell(earlier, 'account')}"` : 'already';
+		problems.push({line: row.line, column: getColumnNumber(row, column), message: `${description} stands ${duplication} on line ${earlier.line}`});
 	}
 
 	return problems;
--- a/packages/cli/src/sheet/plan-sheet.ts
+++ b/packages/cli/src/sheet/plan-sheet.ts
@@ -1,7 +1,7 @@
 import {createHash} from 'node:crypto';
 import {type Either, Left, Right} from 'purify-ts';
-import {formatRow, parseRow as checkStoredRow, type StoredRow} from '@chicorysaddle/model';
-import {type SheetColumn, type SheetKind} from './sheet-columns.js';
+import {formatRow, parseRow as parseStoredRow, type StoredRow} from '@chicorysaddle/model';
+import {type SheetColumn, type SheetRowKind} from './sheet-columns.js';
 import {type SheetProblem} from './sheet-problem.js';
 import {getCell, getColumnNumber, type SheetRow} from './sheet-row.js';
 
@@ -16,11 +16,11 @@
 const hashPrefix = 'sha256:';
 
 /** Returns the hash under which a key of a sheet is stored; a key may be given as its hash. */
-export function getKeyHash(cell: string): string {
-	return cell.startsWith(hashPrefix) ? cell.slice(hashPrefix.length).toLowerCase() : createHash('sha256').update(cell).digest('hex');
+export function getKeyHash(keyOrHash: string): string {
+	return keyOrHash.startsWith(hashPrefix) ? keyOrHash.slice(hashPrefix.length).toLowerCase() : createHash('sha256').update(keyOrHash).digest('hex');
 }
 
-const converters: Readonly<Record<SheetKind, (row: SheetRow) => StoredRow>> = {
+const storedRowFormatters: Readonly<Record<SheetRowKind, (row: SheetRow) => StoredRow>> = {
 	account: row => formatRow('account', getCell(row, 'name'), getCell(row, 'state') === 'closed'
 		? undefined
 		: {
@@ -39,7 +39,7 @@
 		}),
 };
 
-const subjectColumns: Readonly<Record<SheetKind, SheetColumn>> = {account: 'name', key: 'account', endpoint: 'group'};
+const problemColumns: Readonly<Record<SheetRowKind, SheetColumn>> = {account: 'name', key: 'account', endpoint: 'group'};
 
 /**
  * Works out what a sheet changes. Rows of the configuration that the sheet does not name stay as they are.
@@ -48,39 +48,39 @@
  * @returns The differences, or everything that does not fit the configuration.
  */
 export function planSheet(rows: readonly SheetRow[], current: readonly StoredRow[]): Either<SheetProblem[], PlannedChange[]> {
-	const inForce = new Map(current.map(row => [row.key, row.value]));
+	const currentValues = new Map(current.map(row => [row.key, row.value]));
 	const problems: SheetProblem[] = [];
 	const changes: PlannedChange[] = [];
-	const wanted = new Map(rows.map(row => [row, converters[row.kind](row)]));
-	const known = new Set(inForce.keys());
-	for (const row of wanted.values()) {
+	const storedRows = new Map(rows.map(row => [row, storedRowFormatters[row.kind](row)]));
+	const resultingKeys = new Set(currentValues.keys());
+	for (const row of storedRows.values()) {
 		if (row.value === undefined) {
-			known.delete(row.key);
+			resultingKeys.delete(row.key);
 		} else {
-			known.add(row.key);
+			resultingKeys.add(row.key);
 		}
 	}
 
-	for (const [row, stored] of wanted) {
-		problems.push(...checkPlannedRow(row, stored, known, inForce));
-		const before = inForce.get(stored.key);
-		if (before !== stored.value) {
-			changes.push({row: stored, action: stored.value === undefined ? 'remove' : (before === undefined ? 'add' : 'change'), before});
+	for (const [row, storedRow] of storedRows) {
+		problems.push(...checkPlannedRow(row, storedRow, resultingKeys, currentValues));
+		const before = currentValues.get(storedRow.key);
+		if (before !== storedRow.value) {
+			changes.push({row: storedRow, action: storedRow.value === undefined ? 'remove' : (before === undefined ? 'add' : 'change'), before});
 		}
 	}
 
 	return problems.length > 0 ? Left(problems) : Right(changes);
 }
 
-function checkPlannedRow(row: SheetRow, stored: StoredRow, known: ReadonlySet<string>, inForce: ReadonlyMap<string, string | undefined>): SheetProblem[] {
-	const at = (column: SheetColumn, message: string) => [{line: row.line, column: getColumnNumber(row, column), message}];
-	const checked = checkStoredRow(stored);
-	if (checked.isLeft()) {
-		return at(subjectColumns[row.kind], String(checked.extract()));
+function checkPlannedRow(row: SheetRow, storedRow: StoredRow, resultingKeys: ReadonlySet<string>, currentValues: ReadonlyMap<string, string | undefined>): SheetProblem[] {
+	const createProblems = (column: SheetColumn, message: string) => [{line: row.line, column: getColumnNumber(row, column), message}];
+	const parsedRow = parseStoredRow(storedRow);
+	if (parsedRow.isLeft()) {
+		return createProblems(problemColumns[row.kind], String(parsedRow.extract()));
 	}
 
-	if (row.kind === 'endpoint' && stored.value !== undefined && !known.has(`group/${getCell(row, 'group')}`)) {
-		return at('group', `no database group "${getCell(row, 'group')}"`);
+	if (row.kind === 'endpoint' && storedRow.value !== undefined && !resultingKeys.has(`group/${getCell(row, 'group')}`)) {
+		return createProblems('group', `no database group "${getCell(row, 'group')}"`);
 	}
 
 	if (row.kind !== 'key') {
@@ -88,11 +88,11 @@
 	}
 
 	const account = getCell(row, 'account');
-	const holder = inForce.get(stored.key);
-	const holderAccount = holder === undefined ? account : (JSON.parse(holder) as {account: string}).account;
-	if (holderAccount !== account) {
-		return at('key', `this key belongs to client account "${holderAccount}"`);
+	const currentValue = currentValues.get(storedRow.key);
+	const currentAccount = currentValue === undefined ? account : (JSON.parse(currentValue) as {account: string}).account;
+	if (currentAccount !== account) {
+		return createProblems('key', `this key belongs to client account "${currentAccount}"`);
 	}
 
-	return stored.value !== undefined && !known.has(`account/${account}`) ? at('account', `no client account "${account}"`) : [];
+	return storedRow.value !== undefined && !resultingKeys.has(`account/${account}`) ? createProblems('account', `no client account "${account}"`) : [];
 }
--- a/packages/cli/src/sheet/sheet-problem.ts
+++ b/packages/cli/src/sheet/sheet-problem.ts
@@ -8,6 +8,6 @@
 };
 
 /** Writes a problem as "file:line:column: message". */
-export function formatProblem(file: string, {line, column, message}: SheetProblem): string {
+export function formatSheetProblem(file: string, {line, column, message}: SheetProblem): string {
 	return `${file}:${line}:${column}: ${message}`;
 }
--- a/packages/cli/src/sheet/sheet-row.ts
+++ b/packages/cli/src/sheet/sheet-row.ts
@@ -1,9 +1,9 @@
-import {type SheetColumn, type SheetKind} from './sheet-columns.js';
+import {type SheetColumn, type SheetRowKind} from './sheet-columns.js';
 
 /** One row of a sheet, its cells trimmed. */
 export type SheetRow = {
 	readonly line: number;
-	readonly kind: SheetKind;
+	readonly kind: SheetRowKind;
 	/** Cells by the name of their column; absent ones are empty. */
 	readonly cells: Readonly<Partial<Record<SheetColumn, string>>>;
 	/** Place of each column in the sheet, counted from one. */
--- a/packages/cli/src/tests/sheet/parse-sheet.test.ts
+++ b/packages/cli/src/tests/sheet/parse-sheet.test.ts
@@ -7,13 +7,13 @@
 	return parseSheet(new TextEncoder().encode(text));
 }
 
-function getPlaces(text: string): string[] {
+function formatProblems(text: string): string[] {
 	const problems = parseText(text).swap().orDefault([]);
 	return problems.map(({line, column, message}: SheetProblem) => `${line}:${column} ${message}`);
 }
 
 test('every bad row is reported at once, with line and column', t => {
-	const places = getPlaces([
+	const problems = formatProblems([
 		header,
 		'planet,x',
 		'account,a,,,,-1,10',
@@ -26,7 +26,7 @@
 		'key,,,d,secret-1',
 		'endpoint,e,flying,,,,,,g,10.0.0.1:1,z,5,30',
 	].join('\n'));
-	t.deepEqual(places, [
+	t.deepEqual(problems, [
 		'2:1 unknown kind "planet"; known: account, key, endpoint',
 		'3:6 "-1" is not a number above zero',
 		'4:6 a row of kind "account" needs "rate"',
@@ -39,9 +39,9 @@
 });
 
 test('broken quoting, a wrong header, an empty file and a wrong encoding are reported', t => {
-	t.regex(getPlaces(`${header}\naccount,"a,,,,5,5\n`)[0]!, /^[12]:\d+ broken quoting/v);
-	t.deepEqual(getPlaces('kind,colour\n'), ['1:2 unknown column "colour"; known: kind, name, state, account, key, rate, burst, weight, group, address, zone, slots, connections']);
-	t.deepEqual(getPlaces(''), ['1:0 the sheet is empty']);
+	t.regex(formatProblems(`${header}\naccount,"a,,,,5,5\n`)[0]!, /^[12]:\d+ broken quoting/v);
+	t.deepEqual(formatProblems('kind,colour\n'), ['1:2 unknown column "colour"; known: kind, name, state, account, key, rate, burst, weight, group, address, zone, slots, connections']);
+	t.deepEqual(formatProblems(''), ['1:0 the sheet is empty']);
 	t.deepEqual(parseSheet(new Uint8Array([0xFF, 0xFE, 0x41])).swap().orDefault([]).map(({message}) => message), ['the sheet is not in UTF-8']);
 });
 
@@ -56,10 +56,10 @@
 		{key: 'group/g', value: '{"recordsRequestIds":true}'},
 		{key: 'key/2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b', value: '{"account":"a","label":""}'},
 	];
-	const same = parseText('kind,name,rate,burst\naccount,a,5,5\naccount,b,7,7').unsafeCoerce();
-	t.deepEqual(planSheet(same, current).unsafeCoerce().map(({row, action}) => `${action} ${row.key}`), ['add account/b']);
-	const foreign = parseText('kind,name,account,key,rate,burst,group,address,zone,slots,connections\naccount,b,,,1,1\nkey,,b,secret\nkey,,nobody,other\nendpoint,e,,,,,nowhere,h:1,z,1,1').unsafeCoerce();
-	t.deepEqual(planSheet(foreign, current).swap().orDefault([]).map(({line, message}) => `${line} ${message}`), [
+	const rows = parseText('kind,name,rate,burst\naccount,a,5,5\naccount,b,7,7').unsafeCoerce();
+	t.deepEqual(planSheet(rows, current).unsafeCoerce().map(({row, action}) => `${action} ${row.key}`), ['add account/b']);
+	const invalidRows = parseText('kind,name,account,key,rate,burst,group,address,zone,slots,connections\naccount,b,,,1,1\nkey,,b,secret\nkey,,nobody,other\nendpoint,e,,,,,nowhere,h:1,z,1,1').unsafeCoerce();
+	t.deepEqual(planSheet(invalidRows, current).swap().orDefault([]).map(({line, message}) => `${line} ${message}`), [
 		'3 this key belongs to client account "a"',
 		'4 no client account "nobody"',
 		'5 no database group "nowhere"',
@@ -67,9 +67,9 @@
 });
 
 test('a sheet of 100,000 rows is planned whole, or every error in it is found', t => {
-	const good = Array.from({length: 100_000}, (_, index) => `account,account-${index},1,1`);
-	const rows = parseText(['kind,name,rate,burst', ...good].join('\n')).unsafeCoerce();
+	const validLines = Array.from({length: 100_000}, (_, index) => `account,account-${index},1,1`);
+	const rows = parseText(['kind,name,rate,burst', ...validLines].join('\n')).unsafeCoerce();
 	t.is(planSheet(rows, []).unsafeCoerce().length, 100_000);
-	const bad = good.map((line, index) => (index % 1000 === 0 ? line.replace(',1,1', ',0,1') : line));
-	t.is(getPlaces(['kind,name,rate,burst', ...bad].join('\n')).length, 100);
+	const linesWithErrors = validLines.map((line, index) => (index % 1000 === 0 ? line.replace(',1,1', ',0,1') : line));
+	t.is(formatProblems(['kind,name,rate,burst', ...linesWithErrors].join('\n')).length, 100);
 });
