--- a/packages/cli/src/commands/command-context.ts
+++ b/packages/cli/src/commands/command-context.ts
@@ -4,32 +4,34 @@
 	applyChange, createOperatorClient, type OperatorClient,
 } from '../operator/index.js';
 
-/** Exit codes of every command. */
+/** Exit codes of the commands. */
 export const exitCodes = {
 	success: 0,
-	/** The sheet or the arguments are not good; nothing was changed. */
+	/** The sheet or the arguments are invalid, or name something unknown; nothing was changed. */
 	invalidInput: 1,
 	usage: 2,
-	/** Another change was first; nothing was changed. */
+	/** Another change was committed first; nothing was changed. */
 	conflict: 3,
-	/** The change is written but not in force everywhere yet. */
+	/** The change is committed, but not in force on every VM yet. */
 	pending: 4,
-	/** No proxy answered, or it refused. */
+	/** No proxy answered, or it refused the call. */
 	failed: 5,
 } as const;
 
-/** Options that every command takes. */
+/** Flags that every command accepts. */
 export type CommonFlags = {
+	/** Address of an operator port as host:port. */
 	readonly proxy?: string;
 	readonly token?: string;
 	readonly json?: boolean;
+	/** Longest wait until a change is in force on every VM, in seconds. */
 	readonly wait?: number;
 };
 
 const defaultProxyAddress = '127.0.0.1:7002';
 const defaultWaitSeconds = 15;
 
-/** What a command works with: the proxy, and where its results go. */
+/** Client and output of one command. */
 export class CommandContext {
 	readonly client: OperatorClient;
 	readonly #isJson: boolean;
@@ -44,13 +46,18 @@
 		this.#waitMs = Number(flags.wait ?? defaultWaitSeconds) * 1000;
 	}
 
-	/** Prints a result: as one JSON object, or as lines. */
+	/** Prints a result to standard output, as one JSON object with `--json` and as lines without it. */
 	printResult(result: Readonly<Record<string, unknown>>, lines: readonly string[]): void {
 		const text = this.#isJson ? JSON.stringify(result, (_key, value: unknown) => (typeof value === 'bigint' ? Number(value) : value)) : lines.join('\n');
 		process.stdout.write(`${text}\n`);
 	}
 
-	/** Applies rows against the version they were planned from, waits and prints what came of it. */
+	/**
+	 * Applies rows, waits until they are in force on every VM, and prints the outcome.
+	 * @param expectedVersion - Version that the rows were planned against; a later one is a conflict.
+	 * @param details - Fields to add to the JSON result.
+	 * @returns The exit code.
+	 */
 	async applyRows(rows: readonly StoredRow[], summary: string, expectedVersion: bigint, details: Readonly<Record<string, unknown>> = {}): Promise<number> {
 		if (rows.length === 0) {
 			this.printResult({...details, result: 'unchanged', version: expectedVersion}, ['nothing to change']);
@@ -63,7 +70,7 @@
 		}, {
 			waitTimeoutMs: this.#waitMs,
 			onProgress(inForce, total) {
-				process.stderr.write(`in force at ${inForce} of ${total} VMs\n`);
+				process.stderr.write(`in force on ${inForce} of ${total} VMs\n`);
 			},
 		});
 		const exitCodeByKind = {
@@ -76,14 +83,14 @@
 
 function formatOutcome(outcome: Awaited<ReturnType<typeof applyChange>>): string[] {
 	if (outcome.kind === 'in-force') {
-		return [`version ${outcome.version} is in force at all ${outcome.vms.length} VMs`];
+		return [`version ${outcome.version} is in force on all ${outcome.vms.length} VMs`];
 	}
 
 	if (outcome.kind === 'pending') {
-		return [`version ${outcome.version} is written; not in force yet at: ${outcome.pending.join(', ')}`];
+		return [`version ${outcome.version} is committed, but not in force yet on: ${outcome.pending.join(', ')}`];
 	}
 
 	const {other} = outcome;
 	const description = other === undefined ? '' : `: version ${other.version} by ${other.author}, "${other.summary}"`;
-	return [`not applied; another change was first${description}. The configuration is at version ${outcome.version}; plan again.`];
+	return [`not applied; another change was committed first${description}. The configuration is now at version ${outcome.version}; check the change and run the command again.`];
 }
--- a/packages/cli/src/commands/explain-command.ts
+++ b/packages/cli/src/commands/explain-command.ts
@@ -19,9 +19,10 @@
 }
 
 /**
- * Prints what led to a request's answer, from the logs of any number of VMs.
- * @param id - Id of the request or the connection.
- * @param files - Files with logs; standard input where there are none.
+ * Prints the log lines that explain how a request was answered.
+ * @param id - Id of the request or of the connection.
+ * @param files - Log files of any number of VMs; standard input when empty.
+ * @returns The exit code.
  */
 export async function showExplanation(id: string, files: readonly string[]): Promise<number> {
 	const inputs = files.length === 0 ? [process.stdin] : files.map(file => createReadStream(file));
@@ -30,7 +31,7 @@
 	const explanation = explainRequest(id, lines);
 	const firstRequestLine = explanation.find(line => line.relation === 'request');
 	if (firstRequestLine === undefined) {
-		process.stderr.write(`no line of "${id}" among ${lines.length} lines; successes are sampled, and refusals beyond a rate are counted only\n`);
+		process.stderr.write(`no request or connection "${id}" in ${lines.length} log lines; the log holds only a sample of successes, and refusals only up to a rate\n`);
 		return exitCodes.invalidInput;
 	}
 
--- a/packages/cli/src/commands/row-commands.ts
+++ b/packages/cli/src/commands/row-commands.ts
@@ -8,10 +8,10 @@
 
 const keyLengthBytes = 24;
 
-/** Options of commands about limits. */
+/** Flags of the commands that set limits. */
 export type LimitFlags = CommonFlags & {readonly rate?: number; readonly burst?: number; readonly weight?: number};
 
-/** Options of commands about endpoints. */
+/** Flags of the commands that set endpoints. */
 export type EndpointFlags = CommonFlags & {
 	readonly group?: string; readonly address?: string; readonly zone?: string; readonly slots?: number; readonly connections?: number;
 };
@@ -34,16 +34,16 @@
 export async function createAccount(name: string, flags: LimitFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'account', name);
 	if (value !== undefined) {
-		return reportInvalidInput(`client account "${name}" is there already`);
+		return reportInvalidInput(`client account "${name}" already exists`);
 	}
 
 	const {rate, burst, weight = 1} = flags;
 	return rate === undefined || burst === undefined
-		? reportInvalidInput('--rate and --burst are needed')
+		? reportInvalidInput('account create needs --rate and --burst')
 		: context.applyRows([formatRow('account', name, {rate: Number(rate), burst: Number(burst), weight: Number(weight)})], `create client account ${name}`, version);
 }
 
-/** Changes the limits of an account. */
+/** Changes the limits of an account; limits without a flag stay. */
 export async function setAccountLimits(name: string, flags: LimitFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'account', name);
 	return value === undefined
@@ -53,7 +53,7 @@
 		})], `limit client account ${name}`, version);
 }
 
-/** Gives an account a new key, which is printed once and stored as a hash only. */
+/** Creates a key for an account. The key is printed once; only its hash is stored. */
 export async function createKey(account: string, flags: CommonFlags & {readonly label?: string}): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'account', account);
 	if (value === undefined) {
@@ -66,14 +66,17 @@
 	return context.applyRows([formatRow('key', hash, {account, label: flags.label ?? ''})], `give a key to ${account}`, version, {key, hash});
 }
 
-/** Withdraws a key, given itself or as "sha256:" and its hash. */
+/**
+ * Withdraws a key.
+ * @param key - The key, or "sha256:" and its hash.
+ */
 export async function withdrawKey(key: string, flags: CommonFlags): Promise<number> {
 	const hash = getKeyHash(key);
 	const {context, version, value} = await readRow(flags, 'key', hash);
-	return value === undefined ? reportInvalidInput('no such key') : context.applyRows([formatRow('key', hash, undefined)], `withdraw a key of ${value.account}`, version);
+	return value === undefined ? reportInvalidInput('no such key in the configuration; expected a key or "sha256:" and its hash') : context.applyRows([formatRow('key', hash, undefined)], `withdraw a key of ${value.account}`, version);
 }
 
-/** Adds an endpoint, or takes back that it leaves. */
+/** Adds an endpoint, or makes an existing one active again; fields without a flag stay. */
 export async function addEndpoint(name: string, flags: EndpointFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'endpoint', name);
 	const endpoint: Partial<Endpoint> = {
@@ -88,7 +91,7 @@
 	return context.applyRows([formatRow('endpoint', name, endpoint as Endpoint)], `endpoint ${name} joins`, version);
 }
 
-/** Marks an endpoint as leaving: it gets nothing new. */
+/** Marks an endpoint as leaving, so that it gets no new work. */
 export async function drainEndpoint(name: string, flags: CommonFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'endpoint', name);
 	return value === undefined ? reportInvalidInput(`no endpoint "${name}"`) : context.applyRows([formatRow('endpoint', name, {...value, state: 'leaving'})], `endpoint ${name} leaves`, version);
--- a/packages/cli/src/commands/sheet-commands.ts
+++ b/packages/cli/src/commands/sheet-commands.ts
@@ -10,7 +10,7 @@
 	try {
 		return parseSheet(await readFile(file));
 	} catch (error) {
-		return Left([{line: 0, column: 0, message: `cannot be read: ${error instanceof Error ? error.message : String(error)}`}]);
+		return Left([{line: 0, column: 0, message: `the file cannot be read: ${error instanceof Error ? error.message : String(error)}`}]);
 	}
 }
 
@@ -28,27 +28,27 @@
 	return `${action} ${row.key}${before === undefined ? '' : ` from ${before}`}${row.value === undefined ? '' : ` to ${row.value}`}`;
 }
 
-/** Checks a sheet by itself. */
+/** Checks a sheet without a proxy. */
 export async function checkSheetFile(file: string, flags: CommonFlags): Promise<number> {
 	const sheet = await readSheet(file);
 	return sheet.caseOf({
 		Left: problems => reportProblems(file, problems, flags),
 		Right(rows) {
-			new CommandContext(flags).printResult({result: 'good', file, rows: rows.length}, [`${file}: ${rows.length} rows are good`]);
+			new CommandContext(flags).printResult({result: 'good', file, rows: rows.length}, [`${file}: ${rows.length} rows are valid`]);
 			return exitCodes.success;
 		},
 	});
 }
 
-/** Prints what a sheet would change. */
+/** Prints the changes that a sheet would make. */
 export async function planSheetFile(file: string, flags: CommonFlags): Promise<number> {
 	return runWithPlan(file, flags, async (context, version, changes) => {
-		context.printResult({result: 'planned', version, changes}, [`${changes.length} changes to version ${version}`, ...changes.map(change => formatChange(change))]);
+		context.printResult({result: 'planned', version, changes}, [`${changes.length} changes against version ${version}`, ...changes.map(change => formatChange(change))]);
 		return exitCodes.success;
 	});
 }
 
-/** Applies a sheet, whole or not at all. */
+/** Applies a sheet atomically. */
 export async function applySheetFile(file: string, flags: CommonFlags): Promise<number> {
 	return runWithPlan(file, flags, async (context, version, changes) => context.applyRows(changes.map(({row}) => row), `sheet ${file}`, version, {changes: changes.length}));
 }
--- a/packages/cli/src/commands/top-command.ts
+++ b/packages/cli/src/commands/top-command.ts
@@ -2,11 +2,11 @@
 import {type GetStatusResponse} from '@chicorysaddle/protocol';
 import {CommandContext, type CommonFlags, exitCodes} from './command-context.js';
 
-/** Options of the live view. */
+/** Flags of the live view. */
 export type TopFlags = CommonFlags & {
-	/** Seconds between two pictures. */
+	/** Interval between two refreshes, in seconds. */
 	readonly every?: number;
-	/** Number of pictures; without end where absent. */
+	/** Number of refreshes; unlimited when absent. */
 	readonly rounds?: number;
 };
 
@@ -18,12 +18,12 @@
 	return '#'.repeat(filled).padEnd(barLength, '.');
 }
 
-/** Returns how much a number has grown a second. */
+/** Returns the growth of a counter, per second. */
 function getRatePerSecond(current: bigint, previous: bigint | undefined, seconds: number): number {
 	return previous === undefined ? 0 : Number(current - previous) / seconds;
 }
 
-/** Writes one picture: what has happened between two statuses of a VM. */
+/** Formats a status of a VM, with rates since its previous status. */
 export function formatTopView(status: GetStatusResponse, previousStatus: GetStatusResponse | undefined, intervalSeconds: number): string[] {
 	const accounts = status.accounts.map(account => {
 		const previousAccount = previousStatus?.accounts.find(other => other.account === account.account);
@@ -36,7 +36,7 @@
 	});
 	const maxServed = Math.max(1, ...accounts.map(account => account.served));
 	return [
-		`${status.vm} ${status.state}, configuration ${status.configurationVersion}, word of ${Math.round(status.freshnessAgeMs)} ms ago, waiting ${status.counters['queue.waiting'] ?? 0}, transactions ${status.counters['transactions.open'] ?? 0}`,
+		`${status.vm} ${status.state}, configuration ${status.configurationVersion}, confirmed ${Math.round(status.freshnessAgeMs)} ms ago, waiting requests ${status.counters['queue.waiting'] ?? 0}, open transactions ${status.counters['transactions.open'] ?? 0}`,
 		'',
 		'client account        admitted/s refused/s tokens',
 		...accounts.toSorted((a, b) => b.served - a.served).map(account =>
@@ -47,7 +47,7 @@
 	];
 }
 
-/** Shows a live view of one VM. */
+/** Shows a live view of one VM, refreshed until the process ends or all rounds are printed. */
 export async function showTopView(flags: TopFlags): Promise<number> {
 	const context = new CommandContext(flags);
 	const intervalSeconds = Number(flags.every ?? 2);
--- a/packages/cli/src/commands/view-commands.ts
+++ b/packages/cli/src/commands/view-commands.ts
@@ -1,6 +1,6 @@
 import {CommandContext, type CommonFlags, exitCodes} from './command-context.js';
 
-/** Prints the accounts, or one of them with its keys' hashes. */
+/** Prints all accounts, or one account with the hashes of its keys. */
 export async function showAccounts(flags: CommonFlags, name?: string): Promise<number> {
 	const context = new CommandContext(flags);
 	const {version, rows} = await context.client.getConfiguration({});
@@ -16,15 +16,15 @@
 	return exitCodes.success;
 }
 
-/** Prints the state of a proxy as it sees the others. */
+/** Prints the state of a proxy, and of the other VMs as it sees them. */
 export async function showStatus(flags: CommonFlags): Promise<number> {
 	const context = new CommandContext(flags);
 	const status = await context.client.getStatus({});
 	context.printResult({...status}, [
-		`${status.vm} ${status.state}, configuration ${status.configurationVersion}, heard of ${Math.round(status.freshnessAgeMs)} ms ago, limits allocated by ${status.leaseHolder || 'nobody'}`,
+		`${status.vm} ${status.state}, configuration ${status.configurationVersion}, confirmed ${Math.round(status.freshnessAgeMs)} ms ago, limits allocated by ${status.leaseHolder || 'nobody'}`,
 		...status.vms.map(vm => `VM ${vm.name} in ${vm.zone}: ${vm.state}, configuration ${vm.configurationVersion}`),
 		...status.instances.map(instance => `endpoint ${instance.endpoint} of ${instance.group}: ${instance.role}, term ${instance.term}, offset ${instance.offset}, ${instance.inUse} in use of ${instance.connections} connections`),
-		...status.accounts.map(account => `client account ${account.account}: ${account.served} admitted, ${account.refused} refused, ${account.tokens.toFixed(1)} tokens here`),
+		...status.accounts.map(account => `client account ${account.account}: ${account.served} admitted, ${account.refused} refused, ${account.tokens.toFixed(1)} tokens on this VM`),
 	]);
 	return exitCodes.success;
 }
--- a/packages/cli/src/explain/explain-request.ts
+++ b/packages/cli/src/explain/explain-request.ts
@@ -1,15 +1,15 @@
 import {getEventDefinition} from '@chicorysaddle/model';
 import {type LogLine} from './log-line.js';
 
-/** A line of an explanation, with why it is there. */
+/** A log line of an explanation, and how it relates to the request. */
 export type ExplanationLine = LogLine & {
 	readonly relation: 'request' | 'connection' | 'cause';
 };
 
-/** Time before the first line of a request in which a cause is looked for, milliseconds: longer than a failover. */
+/** Time before the first line of a request in which causes are searched, in milliseconds; longer than a failover. */
 const causeLookbackMs = 6000;
 
-/** Time after its last line, milliseconds: what ends the trouble tells about it, too. */
+/** Time after the last line in which causes are searched, in milliseconds: the end of a fault helps to explain it, too. */
 const causeLookaheadMs = 1500;
 
 function isPossibleCause(line: LogLine, vms: ReadonlySet<string>, group: unknown): boolean {
@@ -22,17 +22,17 @@
 	return lineGroup === undefined || group === undefined || lineGroup === group;
 }
 
-/** Names a connection across VMs; lines without one have nothing in common. */
+/** Returns a key of a line's connection that is unique over all VMs, undefined for a line without a connection. */
 function getConnectionKey(line: LogLine): string | undefined {
 	const {connection} = line.fields;
 	return typeof connection === 'string' ? `${line.vm} ${connection}` : undefined;
 }
 
 /**
- * Finds what led to a request's answer.
+ * Finds the log lines that explain how a request was answered.
  * @param id - Id of a request or of a connection.
- * @param lines - Lines of any number of VMs, in any order.
- * @returns The request's lines, those of its connection, and what its VM believed around them, by time.
+ * @param lines - Log lines of any number of VMs, in any order.
+ * @returns The lines of the request and of its connection, and the possible causes near them, ordered by time; empty when the id has no line.
  */
 export function explainRequest(id: string, lines: readonly LogLine[]): ExplanationLine[] {
 	const requestLines = lines.filter(line => line.fields.request === id || line.fields.connection === id);
@@ -64,7 +64,10 @@
 	}).toSorted((a, b) => a.time - b.time);
 }
 
-/** Writes a line of an explanation, with its time after the request's first line. */
+/**
+ * Formats a line of an explanation.
+ * @param startTime - Unix time in milliseconds that the printed time is relative to.
+ */
 export function formatExplanationLine(line: ExplanationLine, startTime: number): string {
 	const seconds = ((line.time - startTime) / 1000).toFixed(3);
 	const fields = Object.entries(line.fields).map(([name, value]) => `${name}=${typeof value === 'string' ? value : JSON.stringify(value)}`).join(' ');
--- a/packages/cli/src/explain/log-line.ts
+++ b/packages/cli/src/explain/log-line.ts
@@ -1,18 +1,18 @@
-/** A decision as a VM logged it. */
+/** An event that a VM logged. */
 export type LogLine = {
-	/** Unix time in milliseconds by the VM's own clock. */
+	/** Unix time in milliseconds, by the clock of the VM. */
 	readonly time: number;
 	readonly vm: string;
 	readonly event: string;
 	readonly fields: Readonly<Record<string, unknown>>;
 };
 
-/** Fields that every line carries and that explain nothing. */
+/** Fields that are on every line and left out of explanations. */
 const omittedFields = new Set(['vm', 'logLevel']);
 
 /**
- * Reads one line of a log; what stands before the JSON object is left out.
- * @returns The decision, or undefined where the line holds none.
+ * Parses one line of a log; a prefix before the JSON object is ignored.
+ * @returns The event, or undefined when the line holds none.
  */
 export function parseLogLine(text: string): LogLine | undefined {
 	const jsonStart = text.indexOf('{"context":');
@@ -27,7 +27,7 @@
 			time, vm: typeof context.vm === 'string' ? context.vm : '', event: message, fields,
 		};
 	} catch {
-		// A line that was cut off: the others are still of use.
+		// A truncated line is skipped, so that the rest of the log can be used.
 		return undefined;
 	}
 }
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,3 +1,3 @@
-/** The operator's command line, and the parts it is made of. */
+/** Sheets and the operator client of the command line. */
 export * from './sheet/index.js';
 export * from './operator/index.js';
--- a/packages/cli/src/operator/apply-change.ts
+++ b/packages/cli/src/operator/apply-change.ts
@@ -4,28 +4,29 @@
 import {type ConfigurationChange} from '@chicorysaddle/protocol';
 import {type OperatorClient} from './operator-client.js';
 
-/** A change to apply. */
+/** A change of the configuration to apply. */
 export type ChangeRequest = {
-	/** Version that the change was planned from. */
+	/** Version that the change was planned against. */
 	readonly expectedVersion: bigint;
 	readonly author: string;
 	readonly summary: string;
 	readonly rows: readonly StoredRow[];
 };
 
-/** What became of a change. */
+/** Outcome of applying a change. */
 export type ApplyOutcome =
-	/** In force at every VM known. */
+	/** In force on every known VM. */
 	| {readonly kind: 'in-force'; readonly version: bigint; readonly vms: readonly string[]}
-	/** Written, but not in force at some VMs within the time allowed. */
+	/** Committed, but not in force on some VMs when the wait timed out. */
 	| {readonly kind: 'pending'; readonly version: bigint; readonly vms: readonly string[]; readonly pending: readonly string[]}
+	/** Not applied, as another change was committed first. */
 	| {readonly kind: 'conflict'; readonly version: bigint; readonly other: ConfigurationChange | undefined};
 
-/** Options of waiting for a change. */
+/** Options of the wait for a change. */
 export type ApplyOptions = {
 	/** Longest wait for the change to be in force, in milliseconds. */
 	readonly waitTimeoutMs: number;
-	/** Told how far the change has come. */
+	/** Called after each poll with the number of VMs on which the change is in force, and the number of known VMs. */
 	onProgress(inForce: number, total: number): void;
 };
 
@@ -33,7 +34,10 @@
 const callTimeoutMs = 15_000;
 const maxSendAttempts = 5;
 
-/** Applies a change and waits until it is in force everywhere. */
+/**
+ * Applies a change and waits until it is in force on every known VM.
+ * @throws ConnectError when a proxy refuses a call, or does not answer.
+ */
 export async function applyChange(client: OperatorClient, change: ChangeRequest, options: ApplyOptions): Promise<ApplyOutcome> {
 	const deadline = performance.now() + options.waitTimeoutMs;
 	const response = await sendChange(client, change);
@@ -61,7 +65,7 @@
 	}
 }
 
-/** Sends a change again under the same identity while its answer is lost. */
+/** Sends a change; when the response is lost, sends it again with the same write id, so that it is applied once. */
 async function sendChange(client: OperatorClient, change: ChangeRequest): Promise<Awaited<ReturnType<OperatorClient['applyChange']>>> {
 	const rows = change.rows.map(row => (row.value === undefined ? {key: row.key} : {key: row.key, value: row.value}));
 	const writeId = createHash('sha256').update(JSON.stringify([String(change.expectedVersion), change.author, rows])).digest('base64url');
--- a/packages/cli/src/operator/operator-client.ts
+++ b/packages/cli/src/operator/operator-client.ts
@@ -2,16 +2,17 @@
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {OperatorService} from '@chicorysaddle/protocol';
 
-/** Where an operator's proxy is. */
+/** Options of an operator client. */
 export type OperatorClientOptions = {
 	/** Address of an operator port as host:port. */
 	readonly proxy: string;
 	readonly token: string;
 };
 
+/** Client of the operator service. */
 export type OperatorClient = Client<typeof OperatorService>;
 
-/** Returns a client of a proxy's operator port. */
+/** Creates a client of a proxy's operator port. */
 export function createOperatorClient({proxy, token}: OperatorClientOptions): OperatorClient {
 	return createClient(OperatorService, createConnectTransport({
 		baseUrl: `http://${proxy}`,
--- a/packages/cli/src/sheet/parse-sheet.ts
+++ b/packages/cli/src/sheet/parse-sheet.ts
@@ -11,9 +11,9 @@
 type Header = ReadonlyMap<SheetColumn, number>;
 
 /**
- * Reads a sheet.
+ * Parses and checks a sheet.
  * @param bytes - Contents of the file: CSV in UTF-8, with or without a byte-order mark, lines ending in LF or CRLF.
- * @returns Its rows, or everything that is wrong with it.
+ * @returns Its rows, or every problem found, ordered by line and column.
  */
 export function parseSheet(bytes: Uint8Array): Either<SheetProblem[], SheetRow[]> {
 	return decodeText(bytes).chain(text => parseRecords(text)).chain(records => {
@@ -30,7 +30,7 @@
 	try {
 		return Right(new TextDecoder('utf8', {fatal: true}).decode(bytes));
 	} catch {
-		return Left([{line: 1, column: 0, message: 'the sheet is not in UTF-8'}]);
+		return Left([{line: 1, column: 0, message: 'the sheet is not valid UTF-8'}]);
 	}
 }
 
@@ -43,7 +43,7 @@
 	} catch (error) {
 		const line = error instanceof CsvError ? Number(error.lines ?? 1) : 1;
 		const column = error instanceof CsvError ? Number(error.index ?? -1) + 1 : 0;
-		return Left([{line, column, message: `broken quoting or line: ${error instanceof Error ? error.message : String(error)}`}]);
+		return Left([{line, column, message: `broken quoting or record: ${error instanceof Error ? error.message : String(error)}`}]);
 	}
 }
 
@@ -55,14 +55,14 @@
 		if (column === undefined) {
 			problems.push({line: 1, column: index + 1, message: `unknown column "${name}"; known: ${sheetColumns.join(', ')}`});
 		} else if (header.has(column)) {
-			problems.push({line: 1, column: index + 1, message: `column "${name}" stands twice`});
+			problems.push({line: 1, column: index + 1, message: `column "${name}" is repeated`});
 		} else {
 			header.set(column, index + 1);
 		}
 	}
 
 	if (!header.has('kind')) {
-		problems.push({line: 1, column: 0, message: 'no column "kind"'});
+		problems.push({line: 1, column: 0, message: 'the header has no column "kind"'});
 	}
 
 	return problems.length > 0 ? Left(problems) : Right(header);
@@ -72,7 +72,7 @@
 	const problems: SheetProblem[] = [];
 	const rows: SheetRow[] = [];
 	for (const {record, info} of records) {
-		// The parser counts up to the last line of a record; quoted cells may span several.
+		// `info.lines` is the last line of the record; quoted cells may span several lines.
 		const line = info.lines - record.join('').split('\n').length + 1;
 		const parsedRow = parseRow(header, record, line);
 		parsedRow.ifLeft(rowProblems => problems.push(...rowProblems)).ifRight(validRow => rows.push(validRow));
@@ -96,7 +96,7 @@
 	const row: SheetRow = {
 		line, kind, cells, columns: header,
 	};
-	const problems = record.length > header.size ? [{line, column: header.size + 1, message: `${record.length} cells under ${header.size} columns`}] : [];
+	const problems = record.length > header.size ? [{line, column: header.size + 1, message: `the row has ${record.length} cells, but the header has ${header.size} columns`}] : [];
 	problems.push(...checkCells(row));
 	return problems.length > 0 ? Left(problems) : Right(row);
 }
@@ -107,6 +107,7 @@
 		problems.push({line: row.line, column: getColumnNumber(row, column), message});
 	};
 
+	// A row that removes something has to fill only the columns that identify it.
 	const isRemoval = ['closed', 'withdrawn', 'gone'].includes(getCell(row, 'state'));
 	const required = isRemoval ? requiredColumns[row.kind].slice(0, row.kind === 'key' ? 2 : 1) : requiredColumns[row.kind];
 	for (const column of required) {
@@ -135,7 +136,7 @@
 	}
 }
 
-/** Returns what a row is about; two rows of a sheet about the same thing are an error. */
+/** Returns the identity of the object that a row sets; a sheet may set each object once. */
 function getRowIdentity(row: SheetRow): {readonly column: SheetColumn; readonly id: string; readonly description: string} {
 	return row.kind === 'key'
 		? {column: 'key', id: `key ${getCell(row, 'key')}`, description: 'this key'}
@@ -154,8 +155,8 @@
 		}
 
 		const isOtherAccount = row.kind === 'key' && getCell(earlier, 'account') !== getCell(row, 'account');
-		const duplication = isOtherAccount ? `for another client account, "${getCell(earlier, 'account')}"` : 'already';
-		problems.push({line: row.line, column: getColumnNumber(row, column), message: `${description} stands ${duplication} on line ${earlier.line}`});
+		const duplication = isOtherAccount ? `listed for another client account, "${getCell(earlier, 'account')}",` : 'already listed';
+		problems.push({line: row.line, column: getColumnNumber(row, column), message: `${description} is ${duplication} on line ${earlier.line}`});
 	}
 
 	return problems;
--- a/packages/cli/src/sheet/plan-sheet.ts
+++ b/packages/cli/src/sheet/plan-sheet.ts
@@ -5,17 +5,20 @@
 import {type SheetProblem} from './sheet-problem.js';
 import {getCell, getColumnNumber, type SheetRow} from './sheet-row.js';
 
-/** One difference between a sheet and the configuration. */
+/** One difference between a sheet and the configuration in force. */
 export type PlannedChange = {
 	readonly row: StoredRow;
 	readonly action: 'add' | 'change' | 'remove';
-	/** Value in force, absent when the row is added. */
+	/** Value in force as JSON, absent when the row is added. */
 	readonly before?: string | undefined;
 };
 
 const hashPrefix = 'sha256:';
 
-/** Returns the hash under which a key of a sheet is stored; a key may be given as its hash. */
+/**
+ * Returns the hash under which a key is stored.
+ * @param keyOrHash - The key, or "sha256:" and its hash.
+ */
 export function getKeyHash(keyOrHash: string): string {
 	return keyOrHash.startsWith(hashPrefix) ? keyOrHash.slice(hashPrefix.length).toLowerCase() : createHash('sha256').update(keyOrHash).digest('hex');
 }
@@ -39,13 +42,14 @@
 		}),
 };
 
+/** Column that is reported when a row does not match the schema. */
 const problemColumns: Readonly<Record<SheetRowKind, SheetColumn>> = {account: 'name', key: 'account', endpoint: 'group'};
 
 /**
- * Works out what a sheet changes. Rows of the configuration that the sheet does not name stay as they are.
+ * Compares a sheet with the configuration. Rows of the configuration that the sheet does not name stay unchanged.
  * @param rows - Rows of a checked sheet.
  * @param current - Rows of the configuration in force.
- * @returns The differences, or everything that does not fit the configuration.
+ * @returns The differences, or every conflict with the configuration.
  */
 export function planSheet(rows: readonly SheetRow[], current: readonly StoredRow[]): Either<SheetProblem[], PlannedChange[]> {
 	const currentValues = new Map(current.map(row => [row.key, row.value]));
--- a/packages/cli/src/sheet/sheet-problem.ts
+++ b/packages/cli/src/sheet/sheet-problem.ts
@@ -1,13 +1,13 @@
-/** Something wrong with one cell, or one row, of a sheet. */
+/** A problem in one cell, or one row, of a sheet. */
 export type SheetProblem = {
-	/** Line of the file, counted from one. */
+	/** Line of the file, counted from one; zero when the file cannot be read. */
 	readonly line: number;
-	/** Column of the sheet, counted from one; zero for the whole row. */
+	/** Column of the sheet, counted from one; zero for the whole row or file. */
 	readonly column: number;
 	readonly message: string;
 };
 
-/** Writes a problem as "file:line:column: message". */
+/** Formats a problem as "file:line:column: message". */
 export function formatSheetProblem(file: string, {line, column, message}: SheetProblem): string {
 	return `${file}:${line}:${column}: ${message}`;
 }
--- a/packages/cli/src/sheet/sheet-row.ts
+++ b/packages/cli/src/sheet/sheet-row.ts
@@ -1,21 +1,22 @@
 import {type SheetColumn, type SheetRowKind} from './sheet-columns.js';
 
-/** One row of a sheet, its cells trimmed. */
+/** One row of a sheet, with trimmed cells. */
 export type SheetRow = {
+	/** First line of the row in the file, counted from one. */
 	readonly line: number;
 	readonly kind: SheetRowKind;
-	/** Cells by the name of their column; absent ones are empty. */
+	/** Cells by the name of their column. */
 	readonly cells: Readonly<Partial<Record<SheetColumn, string>>>;
-	/** Place of each column in the sheet, counted from one. */
+	/** Position of each column in the sheet, counted from one. */
 	readonly columns: ReadonlyMap<SheetColumn, number>;
 };
 
-/** Returns a cell, empty where the column is absent. */
+/** Returns a cell, empty when the column is absent. */
 export function getCell(row: SheetRow, column: SheetColumn): string {
 	return row.cells[column] ?? '';
 }
 
-/** Returns the place of a column in the sheet, zero where it is absent. */
+/** Returns the position of a column in the sheet, zero when it is absent. */
 export function getColumnNumber(row: SheetRow, column: SheetColumn): number {
 	return row.columns.get(column) ?? 0;
 }
--- a/packages/cli/src/tests/explain/explain.test.ts
+++ b/packages/cli/src/tests/explain/explain.test.ts
@@ -22,17 +22,17 @@
 	'  1.0 vm1 {"context":{"vm":"vm1"',
 ].map(text => parseLogLine(text)).filter(line => line !== undefined);
 
-test('an explanation holds the request, its connection, and what its VM and the coordinator did about its group', t => {
+test('an explanation holds the lines of the request and its connection, and the possible causes on its VM and in its group', t => {
 	t.deepEqual(explainRequest('r1', logLines.toReversed()).map(line => `${line.relation} ${line.vm} ${line.event}`), [
 		'cause vm2 promotion.begun', 'cause vm1 term.adopted', 'request vm1 statement.refused', 'connection vm1 statement.completed', 'cause vm2 promotion.ended',
 	]);
 });
 
-test('lines are printed by time after the request', t => {
+test('a line is formatted with its time relative to the request', t => {
 	const [first] = explainRequest('r1', logLines);
 	t.is(formatExplanationLine(first!, 1400), '  -0.400 s  cause       vm2  promotion.begun  group=db term=1 reason=crashed');
 });
 
-test('an id that nobody logged explains nothing', t => {
+test('an id without log lines has no explanation', t => {
 	t.deepEqual(explainRequest('r9', logLines), []);
 });
--- a/packages/cli/src/tests/sheet/parse-sheet.test.ts
+++ b/packages/cli/src/tests/sheet/parse-sheet.test.ts
@@ -12,7 +12,7 @@
 	return problems.map(({line, column, message}: SheetProblem) => `${line}:${column} ${message}`);
 }
 
-test('every bad row is reported at once, with line and column', t => {
+test('every invalid row is reported, with line and column', t => {
 	const problems = formatProblems([
 		header,
 		'planet,x',
@@ -31,26 +31,26 @@
 		'3:6 "-1" is not a number above zero',
 		'4:6 a row of kind "account" needs "rate"',
 		'5:7 "0.5" is not a number of at least one',
-		'7:2 account "d" stands already on line 6',
-		'9:5 this key stands for another client account, "d" on line 8',
-		'10:5 this key stands already on line 8',
+		'7:2 account "d" is already listed on line 6',
+		'9:5 this key is listed for another client account, "d", on line 8',
+		'10:5 this key is already listed on line 8',
 		'11:3 unknown state "flying"; known: active, joining, leaving, gone',
 	]);
 });
 
-test('broken quoting, a wrong header, an empty file and a wrong encoding are reported', t => {
+test('broken quoting, an unknown column, an empty file and invalid UTF-8 are reported', t => {
 	t.regex(formatProblems(`${header}\naccount,"a,,,,5,5\n`)[0]!, /^[12]:\d+ broken quoting/v);
 	t.deepEqual(formatProblems('kind,colour\n'), ['1:2 unknown column "colour"; known: kind, name, state, account, key, rate, burst, weight, group, address, zone, slots, connections']);
 	t.deepEqual(formatProblems(''), ['1:0 the sheet is empty']);
-	t.deepEqual(parseSheet(new Uint8Array([0xFF, 0xFE, 0x41])).swap().orDefault([]).map(({message}) => message), ['the sheet is not in UTF-8']);
+	t.deepEqual(parseSheet(new Uint8Array([0xFF, 0xFE, 0x41])).swap().orDefault([]).map(({message}) => message), ['the sheet is not valid UTF-8']);
 });
 
-test('a byte-order mark, CRLF, quoted line breaks and non-ASCII names are read', t => {
+test('a byte-order mark, CRLF, quoted line breaks and non-ASCII names are parsed', t => {
 	const rows = parseText('\uFEFFkind,name,rate,burst\r\naccount,Bâtiments Ñandú,5,5\r\naccount,"two\nlines",5,5\r\naccount,last,5,5\r\n').unsafeCoerce();
 	t.deepEqual(rows.map(row => [row.line, row.cells.name]), [[2, 'Bâtiments Ñandú'], [3, 'two\nlines'], [5, 'last']]);
 });
 
-test('a plan holds the differences only, and what does not fit the configuration is reported', t => {
+test('a plan holds only the differences, and every conflict with the configuration is reported', t => {
 	const current = [
 		{key: 'account/a', value: '{"rate":5,"burst":5,"weight":1}'},
 		{key: 'group/g', value: '{"recordsRequestIds":true}'},
@@ -66,7 +66,7 @@
 	]);
 });
 
-test('a sheet of 100,000 rows is planned whole, or every error in it is found', t => {
+test('a sheet of 100,000 rows is planned completely, and every problem in one is reported', t => {
 	const validLines = Array.from({length: 100_000}, (_, index) => `account,account-${index},1,1`);
 	const rows = parseText(['kind,name,rate,burst', ...validLines].join('\n')).unsafeCoerce();
 	t.is(planSheet(rows, []).unsafeCoerce().length, 100_000);
