--- a/examples/embed/limits.js
+++ b/examples/embed/limits.js
@@ -1,6 +1,6 @@
 /**
- * Uses the decisions without the daemons: one allocator and two holders of shares share a rate of 10 a second.
- * Time is a number that the program passes in; messages are plain objects that it carries itself.
+ * Embeds the decisions without the daemons: an allocator divides a rate of 10 requests per second between two holders.
+ * The program passes in the time, in milliseconds, and delivers the messages, which are plain objects.
  */
 import process from 'node:process';
 import {AdmissionControl, ShareAllocator} from '@chicorysaddle/decisions';
@@ -13,7 +13,7 @@
 
 for (let now = 1000; now < 1000 + (seconds * 1000); now += 20) {
 	for (const [index, holder] of holders.entries()) {
-		// Each offers 12 requests a second, so that both together are over the rate.
+		// Each holder gets 12.5 requests per second, so that both together exceed the rate.
 		if ((now / 20) % 4 === index) {
 			const decision = holder.admission.requestAdmission(now, 'account', now + 1000, now);
 			holder.admitted += decision?.kind === 'admitted' ? 1 : 0;
