--- a/packages/cli/src/commands/explain-command.ts
+++ b/packages/cli/src/commands/explain-command.ts
@@ -2,11 +2,11 @@
 import process from 'node:process';
 import {createInterface} from 'node:readline';
 import {
-	explainRequest, formatExplainedLine, type LogLine, parseLogLine,
+	explainRequest, formatExplanationLine, type LogLine, parseLogLine,
 } from '../explain/index.js';
 import {exitCodes} from './command-context.js';
 
-async function readLines(input: NodeJS.ReadableStream): Promise<LogLine[]> {
+async function readLogLines(input: NodeJS.ReadableStream): Promise<LogLine[]> {
 	const lines: LogLine[] = [];
 	for await (const text of createInterface({input})) {
 		const line = parseLogLine(text);
@@ -19,21 +19,22 @@
 }
 
 /**
- * Prints what led to a request's answer, from the logs of any number of VMs.
- * @param id - Id of the request or the connection.
- * @param files - Files with logs; standard input where there are none.
+ * Prints the log lines that explain how a request was answered.
+ * @param id - Id of the request or of the connection.
+ * @param files - Log files of any number of VMs; standard input when empty.
+ * @returns The exit code.
  */
-export async function explain(id: string, files: readonly string[]): Promise<number> {
+export async function showExplanation(id: string, files: readonly string[]): Promise<number> {
 	const inputs = files.length === 0 ? [process.stdin] : files.map(file => createReadStream(file));
-	const logs = await Promise.all(inputs.map(async input => readLines(input)));
-	const lines = logs.flat();
-	const explained = explainRequest(id, lines);
-	const first = explained.find(line => line.relation === 'request');
-	if (first === undefined) {
-		process.stderr.write(`no line of "${id}" among ${lines.length} lines; successes are sampled, and refusals beyond a rate are counted only\n`);
-		return exitCodes.bad;
+	const linesByInput = await Promise.all(inputs.map(async input => readLogLines(input)));
+	const lines = linesByInput.flat();
+	const explanation = explainRequest(id, lines);
+	const firstRequestLine = explanation.find(line => line.relation === 'request');
+	if (firstRequestLine === undefined) {
+		process.stderr.write(`no request or connection "${id}" in ${lines.length} log lines; the log holds only a sample of successes, and refusals only up to a rate\n`);
+		return exitCodes.invalidInput;
 	}
 
-	process.stdout.write(`${explained.map(line => formatExplainedLine(line, first.time)).join('\n')}\n`);
-	return exitCodes.done;
+	process.stdout.write(`${explanation.map(line => formatExplanationLine(line, firstRequestLine.time)).join('\n')}\n`);
+	return exitCodes.success;
 }
