--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,4 +1,4 @@
-/** The proxy daemon, for programs that run one inside their own process. */
+/** Public interface of the proxy daemon, for programs that embed a proxy in their own process. */
 export * from './settings/index.js';
 export * from './wiring/index.js';
 export * from './observability/index.js';
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -31,7 +31,7 @@
 		}
 
 		if (file === undefined) {
-			process.stderr.write('a file of settings is needed; see --help\n');
+			process.stderr.write('no settings file given; see --help\n');
 			process.exit(exitCodes.invalidSettings);
 		}
 
@@ -41,13 +41,13 @@
 				process.stderr.write(`${errors.join('\n')}\n`);
 				process.exit(exitCodes.invalidSettings);
 			},
-			async Right(checked) {
+			async Right(validSettings) {
 				if (options.check) {
 					process.stdout.write(`${file}: settings are good\n`);
 					return;
 				}
 
-				await runProxy(checked);
+				await runProxy(validSettings);
 			},
 		});
 	})
--- a/packages/proxy/src/settings/load-settings.ts
+++ b/packages/proxy/src/settings/load-settings.ts
@@ -16,10 +16,10 @@
 }
 
 /**
- * Checks settings.
- * @param file - Name of the file, for messages.
- * @param text - Contents of the file.
- * @returns The settings, or one message for each error.
+ * Parses and validates settings in TOML.
+ * @param file - File name for error messages.
+ * @param text - Content of the file.
+ * @returns The settings, or one message per error.
  */
 export function parseSettings(file: string, text: string): Either<string[], Settings> {
 	try {
@@ -34,7 +34,7 @@
 	}
 }
 
-/** Reads and checks a file of settings. */
+/** Reads and validates a settings file; returns one message per error. */
 export async function loadSettings(file: string): Promise<Either<string[], Settings>> {
 	try {
 		return parseSettings(file, await readFile(file, 'utf8'));
--- a/packages/proxy/src/settings/settings-reference.ts
+++ b/packages/proxy/src/settings/settings-reference.ts
@@ -20,7 +20,7 @@
 	return `| \`${name}\` | ${formatType(property)} | ${defaultValue} | ${property.description ?? ''} |`;
 }
 
-/** Writes the reference of all settings as a page, from the schema that checks them. */
+/** Formats the reference page of all settings, in Markdown, from the validation schema. */
 export function formatSettingsReference(): string {
 	const {properties = {}} = z.toJSONSchema(settingsSchema, {io: 'input'}) as {properties?: Readonly<Record<string, TableSchema>>};
 	const tables = Object.entries(properties).map(([table, schema]) => [
--- a/packages/proxy/src/tests/settings/settings.test.ts
+++ b/packages/proxy/src/tests/settings/settings.test.ts
@@ -12,12 +12,12 @@
 secret = "a-shared-secret-of-some-length"
 `;
 
-test('settings are filled in with standard values', t => {
+test('missing settings get their default values', t => {
 	const settings = parseSettings('vm.toml', validSettings).unsafeCoerce();
 	t.deepEqual([settings.ports.caller, settings.timeouts.freshness_ms, settings.policy.reads], [7000, 2500, 'product']);
 });
 
-test('every error names file, line and key, and what was expected', t => {
+test('each error gives the file, line, key and expected value', t => {
 	const invalidSettings = `${validSettings}[ports]\ncaller = 70000\ncolour = "red"\n[timeouts]\nfreshness_ms = "soon"\n`;
 	t.deepEqual(parseSettings('vm.toml', invalidSettings).swap().orDefault([]).toSorted(), [
 		'vm.toml:10: ports.caller: Too big: expected number to be <=65535',
@@ -28,7 +28,7 @@
 	t.true(parseSettings('vm.toml', '[vm]\nname = "x"\n').swap().orDefault([]).some(error => error.includes('platform')));
 });
 
-test('the settings page is what the schema says', async t => {
+test('the settings page matches the schema', async t => {
 	const page = await readFile(new URL('../../../../../docs/SETTINGS.md', import.meta.url), 'utf8');
 	t.is(page, formatSettingsReference());
 });
