--- a/packages/proxy/src/access/caller-authenticator.ts
+++ b/packages/proxy/src/access/caller-authenticator.ts
@@ -3,48 +3,49 @@
 import {type Either, Left, Right} from 'purify-ts';
 import {type Configuration, type Refusal, refusals} from '@chicorysaddle/model';
 
-/** Who sent a request; only a hash of the key is kept. */
+/** The sender of a request, with the hash of its API key instead of the key itself. */
 export type CallerIdentity = {
 	readonly account: string;
-	/** Hash of the key, empty on a route open to all. */
+	/** SHA-256 hash of the API key, empty for an anonymous caller. */
 	readonly keyHash: string;
 };
 
-/** Account that requests without a key on open routes are counted under. */
+/** Account name that anonymous requests are counted under. */
 export const anonymousAccount = 'open';
 
-/** Returns the hash under which a key is stored. */
+/** Returns the SHA-256 hash of a key or token, as hexadecimal digits. */
 export function hashKey(key: string): string {
 	return createHash('sha256').update(key).digest('hex');
 }
 
-/** Says whether two hashes are equal, in time that does not depend on where they differ. */
+/** Returns whether two hashes are equal; the comparison takes constant time for hashes of equal length. */
 export function isSameHash(a: string, b: string): boolean {
 	return a.length === b.length && timingSafeEqual(Buffer.from(a), Buffer.from(b));
 }
 
-/** Returns the token of an Authorization header. */
+/** Returns the token of an `Authorization` header, or undefined for another scheme. */
 export function getBearerToken(authorization: string): string | undefined {
 	const prefix = 'bearer ';
 	return authorization.toLowerCase().startsWith(prefix) ? authorization.slice(prefix.length).trim() : undefined;
 }
 
-/** What the gate asks of the state of this VM. */
+/** State of this VM that authentication depends on. */
 export type AuthenticationState = {
 	readonly configuration: Configuration;
-	/** Whether the configuration may be used now. */
+	/** Returns whether the configuration is fresh enough to be used. */
 	isFresh(): boolean;
+	/** Returns the age of the configuration, in milliseconds. */
 	getAgeMs(): number;
 };
 
-/** Lets requests through for the account whose key came with them, while the view of the keys is fresh. */
+/** Authenticates callers by API key; refuses every request while the configuration is stale, since a key may have been withdrawn. */
 export class CallerAuthenticator {
 	constructor(private readonly state: AuthenticationState) {}
 
 	/**
-	 * Identifies the sender of a request.
-	 * @param authorization - The Authorization header.
-	 * @param isAnonymousAllowed - Whether the route is open to all.
+	 * Authenticates the sender of a request.
+	 * @param authorization - Value of the `Authorization` header, empty for none.
+	 * @param isAnonymousAllowed - Whether the route may be called without an API key.
 	 */
 	authenticateCaller(authorization: string, isAnonymousAllowed: boolean): Either<Refusal, CallerIdentity> {
 		if (!this.state.isFresh()) {
@@ -61,7 +62,7 @@
 		return account === undefined ? Left(refusals.unknownKey()) : this.checkIdentity({...identity, account});
 	}
 
-	/** Checks again, just before a request is handed on, that it may still run. */
+	/** Checks an authenticated caller again, just before its request is sent to an endpoint. */
 	checkIdentity(identity: CallerIdentity): Either<Refusal, CallerIdentity> {
 		if (!this.state.isFresh()) {
 			return Left(refusals.staleView(this.state.getAgeMs()));
--- a/packages/proxy/src/endpoints/endpoint-connection-pool.ts
+++ b/packages/proxy/src/endpoints/endpoint-connection-pool.ts
@@ -1,18 +1,18 @@
 import {type EndpointConnectionPort, type EndpointConnector} from './endpoint-port.js';
 
-/** Connections that all VMs together leave unused, for a VM that is not listed yet. */
+/** Connections to an instance that the known VMs leave free for a VM that is not listed yet. */
 export const reservedConnections = 2;
 
 /**
- * Returns how many connections one VM may have to an instance.
- * @param connections - Connections that the instance has for all VMs together.
- * @param vmCount - Number of VMs known.
+ * Returns the maximum number of connections from one VM to an instance.
+ * @param connections - Connection limit of the instance, over all VMs.
+ * @param vmCount - Number of known VMs.
  */
 export function getMaxConnectionsPerVm(connections: number, vmCount: number): number {
 	return Math.max(reservedConnections, Math.floor((connections - reservedConnections) / Math.max(1, vmCount)));
 }
 
-/** The connections of this VM to one instance: one for control, the others for requests. */
+/** Pool of connections from this VM to one instance, with a separate control connection. */
 export class EndpointConnectionPool {
 	readonly control: EndpointConnectionPort;
 	readonly #idle: EndpointConnectionPort[] = [];
@@ -27,22 +27,22 @@
 		this.control = connector.openConnection(address);
 	}
 
-	/** Most connections for requests. */
+	/** Maximum number of connections for requests. */
 	get maxRequestConnections(): number {
 		return this.#maxRequestConnections;
 	}
 
-	/** Connections that are open, the one for control included. */
+	/** Number of open connections, including the control connection. */
 	get openCount(): number {
 		return this.#requestConnectionCount + 1;
 	}
 
-	/** Connections that requests own now. */
+	/** Number of connections that requests hold. */
 	get acquiredCount(): number {
 		return this.#requestConnectionCount - this.#idle.length;
 	}
 
-	/** Changes the number of connections; those too many close when they are given back. */
+	/** Sets the maximum number of connections, including the control connection; surplus ones are closed once they are idle. */
 	setMaxConnections(maxConnections: number): void {
 		this.#maxRequestConnections = Math.max(1, maxConnections - 1);
 		while (this.#requestConnectionCount > this.#maxRequestConnections && this.#idle.length > 0) {
@@ -50,11 +50,12 @@
 		}
 	}
 
+	/** Returns whether `acquireConnection` would return a connection. */
 	hasFreeConnection(): boolean {
 		return this.acquiredCount < this.#maxRequestConnections;
 	}
 
-	/** Takes a connection that nobody else has, the one used last first. */
+	/** Returns the most recently used idle connection or a new one, or undefined if all are in use. */
 	acquireConnection(): EndpointConnectionPort | undefined {
 		const idle = this.#idle.pop();
 		if (idle !== undefined || this.#requestConnectionCount >= this.#maxRequestConnections) {
@@ -65,7 +66,7 @@
 		return this.connector.openConnection(this.address);
 	}
 
-	/** Gives a connection back; one that may hold somebody's state is closed. */
+	/** Returns a connection to the pool; one that is not clean may hold state of its request and is closed. */
 	releaseConnection(connection: EndpointConnectionPort, isClean: boolean): void {
 		if (isClean && this.#requestConnectionCount <= this.#maxRequestConnections) {
 			this.#idle.push(connection);
@@ -74,7 +75,7 @@
 		}
 	}
 
-	/** Opens the connections that are missing; each pings the instance once. */
+	/** Opens connections up to the maximum and pings the instance once on each. */
 	async warmConnections(ping: (connection: EndpointConnectionPort) => Promise<unknown>): Promise<void> {
 		const newConnections: EndpointConnectionPort[] = [];
 		while (this.#requestConnectionCount < this.#maxRequestConnections) {
@@ -88,7 +89,7 @@
 		}
 	}
 
-	/** Closes every connection that no request owns. */
+	/** Closes the control connection and all idle connections. */
 	close(): void {
 		this.control.close();
 		for (const connection of this.#idle.splice(0)) {
--- a/packages/proxy/src/endpoints/endpoint-port.ts
+++ b/packages/proxy/src/endpoints/endpoint-port.ts
@@ -4,8 +4,9 @@
 } from '@chicorysaddle/protocol';
 import {type RequestStage} from '@chicorysaddle/decisions';
 
-/** A request that brought no usable answer, and how far it had got. */
+/** Failure of a request without a usable response. */
 export type EndpointFailure = {
+	/** Whether the request may have reached the endpoint. */
 	readonly stage: Extract<RequestStage, 'unsent' | 'unanswered'>;
 	readonly message: string;
 };
@@ -13,7 +14,7 @@
 /** Options of one request to an endpoint. */
 export type EndpointCallOptions = {
 	readonly timeoutMs: number;
-	/** W3C trace context of the hop, empty for none. */
+	/** W3C `traceparent` of the hop, empty for none. */
 	readonly traceparent?: string;
 };
 
@@ -23,9 +24,9 @@
 	probe(request: ProbeRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, InstanceStatus>>;
 	fence(request: FenceRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>>;
 	promote(request: PromoteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>>;
-	/** Number of times that the connection has been lost. */
+	/** Number of times the connection was lost; the next request reconnects. */
 	readonly disconnectCount: number;
-	/** Closes the connection at once, with whatever runs on it. */
+	/** Closes the connection at once and aborts the request in flight. */
 	close(): void;
 };
 
--- a/packages/proxy/src/endpoints/http-endpoint-connection.ts
+++ b/packages/proxy/src/endpoints/http-endpoint-connection.ts
@@ -12,30 +12,30 @@
 } from './endpoint-port.js';
 
 const servicePath = '/chicorysaddle.endpoint.v1.EndpointService';
-/** An idle connection stays open this long, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const idleTimeoutMs = 600_000;
 
 /** Options of connections to endpoints. */
 export type EndpointConnectionOptions = {
 	readonly connectTimeoutMs: number;
-	/** IP number that connections come from. */
+	/** Local IP address that connections are opened from. */
 	readonly sourceAddress?: string | undefined;
 };
 
 type EndpointMethod<Request extends DescMessage, Response extends DescMessage> = {
-	readonly method: string;
+	readonly name: string;
 	readonly request: Request;
 	readonly response: Response;
 };
 
 const endpointMethods = {
-	execute: {method: 'Execute', request: ExecuteRequestSchema, response: ExecuteResponseSchema},
-	probe: {method: 'Probe', request: ProbeRequestSchema, response: InstanceStatusSchema},
-	fence: {method: 'Fence', request: FenceRequestSchema, response: FenceResponseSchema},
-	promote: {method: 'Promote', request: PromoteRequestSchema, response: FenceResponseSchema},
+	execute: {name: 'Execute', request: ExecuteRequestSchema, response: ExecuteResponseSchema},
+	probe: {name: 'Probe', request: ProbeRequestSchema, response: InstanceStatusSchema},
+	fence: {name: 'Fence', request: FenceRequestSchema, response: FenceResponseSchema},
+	promote: {name: 'Promote', request: PromoteRequestSchema, response: FenceResponseSchema},
 } as const;
 
-/** One connection that speaks the unary Connect protocol, one request at a time. */
+/** A connection that speaks the unary Connect protocol over HTTP/1.1, one request at a time. */
 export class HttpEndpointConnection implements EndpointConnectionPort {
 	#disconnectCount = 0;
 	#isClosed = false;
@@ -50,15 +50,15 @@
 	}
 
 	async execute(request: ExecuteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, ExecuteResponse>> {
-		const response = await this.#send(endpointMethods.execute, request, options);
-		return response.chain(answer => {
-			if (answer.requestId === request.requestId) {
-				return Right(answer);
+		const result = await this.#send(endpointMethods.execute, request, options);
+		return result.chain(response => {
+			if (response.requestId === request.requestId) {
+				return Right(response);
 			}
 
-			// The answer belongs to another request: nothing on this connection can be trusted.
+			// The response belongs to another request, so later responses on this connection may be misattributed too.
 			this.#reset();
-			return Left({stage: 'unanswered', message: `answer to "${answer.requestId}" instead of "${request.requestId}"`});
+			return Left({stage: 'unanswered', message: `response has request ID "${response.requestId}" instead of "${request.requestId}"`});
 		});
 	}
 
@@ -79,7 +79,7 @@
 		this.#client.destroy().catch(() => undefined);
 	}
 
-	/** Breaks the connection, so that a late answer cannot be read as another's; the next request opens it anew. */
+	/** Destroys the connection, so that a late response cannot be read as that of another request; the next request reconnects. */
 	#reset(): void {
 		this.#client.removeAllListeners('disconnect');
 		this.#client.destroy().catch(() => undefined);
@@ -105,9 +105,9 @@
 		return client;
 	}
 
-	async #send<Request extends DescMessage, Response extends DescMessage>(call: EndpointMethod<Request, Response>, request: MessageShape<Request>, options: EndpointCallOptions): Promise<Either<EndpointFailure, MessageShape<Response>>> {
+	async #send<Request extends DescMessage, Response extends DescMessage>(endpointMethod: EndpointMethod<Request, Response>, request: MessageShape<Request>, options: EndpointCallOptions): Promise<Either<EndpointFailure, MessageShape<Response>>> {
 		if (options.timeoutMs <= 0 || this.#isClosed) {
-			return Left({stage: 'unsent', message: this.#isClosed ? 'the connection is closed' : 'no time left'});
+			return Left({stage: 'unsent', message: this.#isClosed ? 'connection is closed' : 'deadline has passed'});
 		}
 
 		const timer = setTimeout(() => {
@@ -116,14 +116,14 @@
 		try {
 			const response = await this.#client.request({
 				method: 'POST',
-				path: `${servicePath}/${call.method}`,
+				path: `${servicePath}/${endpointMethod.name}`,
 				headers: {'content-type': 'application/proto', ...(options.traceparent ? {traceparent: options.traceparent} : {})},
-				body: toBinary(call.request, request),
+				body: toBinary(endpointMethod.request, request),
 			});
 			const body = new Uint8Array(await response.body.arrayBuffer());
 			return response.statusCode === 200
-				? Right(fromBinary(call.response, body))
-				: Left({stage: 'unanswered', message: `status ${response.statusCode}`});
+				? Right(fromBinary(endpointMethod.response, body))
+				: Left({stage: 'unanswered', message: `endpoint responded with HTTP status ${response.statusCode}`});
 		} catch (error) {
 			return Left(createEndpointFailure(error));
 		} finally {
@@ -134,7 +134,7 @@
 
 const unsentErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
-/** A request whose connection was never established was not sent; one whose connection was broken here may have been. */
+/** Creates the failure for an error: a request is unsent only if its connection was never established. */
 function createEndpointFailure(error: unknown): EndpointFailure {
 	const message = error instanceof Error ? error.message : String(error);
 	const code = error instanceof Error && 'code' in error ? String(error.code) : '';
@@ -143,7 +143,7 @@
 	return {stage: isUnsent ? 'unsent' : 'unanswered', message};
 }
 
-/** Opens connections over HTTP/1.1. */
+/** Opens connections to endpoints over HTTP/1.1. */
 export class HttpEndpointConnector implements EndpointConnector {
 	constructor(private readonly options: EndpointConnectionOptions) {}
 
--- a/packages/proxy/src/endpoints/instance-report.ts
+++ b/packages/proxy/src/endpoints/instance-report.ts
@@ -2,17 +2,17 @@
 import {type LogPosition as WirePosition, type InstanceStatus} from '@chicorysaddle/protocol';
 import {logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** Reads a position off the wire. */
+/** Converts a log position from its wire format. */
 export function parsePosition(position: WirePosition | undefined): LogPosition {
 	return position === undefined ? logStart : {term: Number(position.term), offset: Number(position.offset)};
 }
 
-/** Writes a position for the wire. */
+/** Converts a log position to its wire format. */
 export function formatPosition(position: LogPosition): {term: bigint; offset: bigint} {
 	return {term: BigInt(position.term), offset: BigInt(position.offset)};
 }
 
-/** Reads an instance's status off the wire. */
+/** Converts the status of an instance from its wire format. */
 export function parseInstanceStatus(status: InstanceStatus): InstanceReport {
 	return {
 		term: Number(status.term),
--- a/packages/proxy/src/sessions/session-token-codec.ts
+++ b/packages/proxy/src/sessions/session-token-codec.ts
@@ -8,7 +8,7 @@
 import {type Refusal, refusals} from '@chicorysaddle/model';
 
 const signatureLengthBytes = 16;
-/** Longest token that is read, in characters. */
+/** Maximum length of a token, in characters. */
 export const maxTokenLength = 8192;
 
 const watermarkSchema = z.tuple([z.string(), z.number().int().min(0), z.number().int().min(0), z.union([z.literal(0), z.literal(1)])]);
@@ -18,29 +18,29 @@
 	return createHmac('sha256', secret).update(payload).digest().subarray(0, signatureLengthBytes);
 }
 
-/** Writes and reads the opaque session tokens of callers; any proxy with the secret can read them. */
+/** Encodes sessions as opaque signed tokens, which any proxy with the same secret can decode. */
 export class SessionTokenCodec {
-	/** @param getSecret - Returns the signing key in force, as hexadecimal digits. */
+	/** @param getSecret - Returns the current signing key as hexadecimal digits, or undefined if there is none. */
 	constructor(private readonly getSecret: () => string | undefined) {}
 
 	#secretText = '';
 	#secretKey: KeyObject | undefined;
 
-	/** Writes a token for a session of an account. */
+	/** Formats the token for a session of a client account; empty without a signing key. */
 	formatToken(session: Session, account: string): string {
 		const secret = this.#getSecretKey();
 		if (secret === undefined) {
 			return '';
 		}
 
-		const watermarks = [...session.getWatermarks()].map(([group, mark]) => [group, mark.position.term, mark.position.offset, mark.primaryOnly ? 1 : 0]);
+		const watermarks = [...session.getWatermarks()].map(([group, watermark]) => [group, watermark.position.term, watermark.position.offset, watermark.primaryOnly ? 1 : 0]);
 		const payload = Buffer.from(JSON.stringify({a: account, m: watermarks}));
 		return Buffer.concat([signPayload(payload, secret), payload]).toString('base64url');
 	}
 
 	/**
-	 * Reads a token.
-	 * @param token - Token of the caller, empty for a new session.
+	 * Parses a token; refuses one that is too long, forged or issued to another client account.
+	 * @param token - Token from the caller, empty for a new session.
 	 * @param account - Client account of the caller.
 	 */
 	parseToken(token: string, account: string): Either<Refusal, Session> {
@@ -66,7 +66,7 @@
 			: Left(refusals.invalidSession('belongs to another client account'));
 	}
 
-	/** Returns the signing key, prepared once for each secret. */
+	/** Returns the signing key, cached until the secret changes. */
 	#getSecretKey(): KeyObject | undefined {
 		const text = this.getSecret();
 		if (text !== undefined && text !== this.#secretText) {
