--- a/packages/proxy/src/observability/clock.ts
+++ b/packages/proxy/src/observability/clock.ts
@@ -1,12 +1,12 @@
 import {performance} from 'node:perf_hooks';
 
-/** Monotonic time. */
+/** A monotonic clock. */
 export type Clock = {
-	/** Returns milliseconds since an arbitrary start. */
+	/** Returns the milliseconds since an arbitrary but fixed point in time. */
 	getNow(): number;
 };
 
-/** The clock of this process. */
+/** Monotonic clock of this process. */
 export const systemClock: Clock = {
 	getNow: () => performance.now(),
 };
--- a/packages/proxy/src/observability/logger.ts
+++ b/packages/proxy/src/observability/logger.ts
@@ -3,45 +3,45 @@
 
 type LogLevel = keyof typeof logLevels;
 
-/** Values that a log line may carry. */
+/** Structured fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes JSON lines to standard output, in a process that was started with Roarr switched on. */
+/** Writes JSON lines to standard output; needs `ROARR_LOG=true` in the environment before Roarr is loaded. */
 export class Logger {
 	readonly #roarr;
 	readonly #minLevel: number;
 
 	/**
-	 * @param level - Lowest level that is written.
-	 * @param context - Values that every line carries.
+	 * @param level - Minimum level that is written.
+	 * @param fields - Fields that are added to every line.
 	 */
-	constructor(level: LogLevel, context: LogFields) {
+	constructor(level: LogLevel, fields: LogFields) {
 		this.#minLevel = logLevels[level];
-		this.#roarr = Roarr.child({...context});
+		this.#roarr = Roarr.child({...fields});
 		ROARR.write = message => {
 			process.stdout.write(`${message}\n`);
 		};
 	}
 
-	debug(message: string, context: LogFields = {}): void {
-		this.#write('debug', message, context);
+	debug(message: string, fields: LogFields = {}): void {
+		this.#write('debug', message, fields);
 	}
 
-	info(message: string, context: LogFields = {}): void {
-		this.#write('info', message, context);
+	info(message: string, fields: LogFields = {}): void {
+		this.#write('info', message, fields);
 	}
 
-	warn(message: string, context: LogFields = {}): void {
-		this.#write('warn', message, context);
+	warn(message: string, fields: LogFields = {}): void {
+		this.#write('warn', message, fields);
 	}
 
-	error(message: string, context: LogFields = {}): void {
-		this.#write('error', message, context);
+	error(message: string, fields: LogFields = {}): void {
+		this.#write('error', message, fields);
 	}
 
-	#write(level: 'debug' | 'info' | 'warn' | 'error', message: string, context: LogFields): void {
+	#write(level: 'debug' | 'info' | 'warn' | 'error', message: string, fields: LogFields): void {
 		if (logLevels[level] >= this.#minLevel) {
-			this.#roarr[level]({...context}, message);
+			this.#roarr[level]({...fields}, message);
 		}
 	}
 }
--- a/packages/proxy/src/observability/tracing.ts
+++ b/packages/proxy/src/observability/tracing.ts
@@ -7,11 +7,13 @@
 	BatchSpanProcessor, NodeTracerProvider, ParentBasedSampler, type SpanProcessor, TraceIdRatioBasedSampler,
 } from '@opentelemetry/sdk-trace-node';
 
-/** Where spans go and how many are kept. */
+/** Options of tracing. */
 export type TracingOptions = {
+	/** Fraction of new traces that are sampled, from 0 to 1. */
 	readonly sampleRatio: number;
+	/** URL of the OTLP endpoint that spans are exported to; none are exported if absent. */
 	readonly otlpUrl?: string | undefined;
-	/** Further receivers of finished spans. */
+	/** Additional processors of finished spans. */
 	readonly processors?: readonly SpanProcessor[];
 };
 
@@ -21,7 +23,7 @@
 	keys: carrier => Object.keys(carrier),
 };
 
-/** Spans for each hop of a request, with W3C trace context between processes. */
+/** Creates a span for each hop of a request and propagates the W3C trace context between processes. */
 export class Tracing {
 	readonly #provider: NodeTracerProvider;
 	readonly #tracer: Tracer;
@@ -35,12 +37,12 @@
 		this.#tracer = this.#provider.getTracer('chicorysaddle');
 	}
 
-	/** Reads the trace that a request belongs to. */
+	/** Extracts the trace context of a request from its `traceparent` header. */
 	parseTraceparent(traceparent: string | undefined): Context {
 		return traceparent === undefined ? ROOT_CONTEXT : propagator.extract(ROOT_CONTEXT, {traceparent}, headerGetter);
 	}
 
-	/** Writes the header that hands a trace on. */
+	/** Formats a trace context as a `traceparent` header, empty without a valid span. */
 	formatTraceparent(context: Context): string {
 		const carrier: Record<string, string> = {};
 		propagator.inject(context, carrier, {
@@ -52,10 +54,10 @@
 	}
 
 	/**
-	 * Runs a hop inside a span.
-	 * @param name - Name of the hop.
-	 * @param parent - Trace that the hop belongs to.
-	 * @param run - The hop, given its own trace context and span.
+	 * Runs a function inside a span, which records the error if the function throws.
+	 * @param name - Name of the span.
+	 * @param parent - Trace context of the parent span.
+	 * @param run - Function to run, with the new trace context and span.
 	 */
 	async runInSpan<T>(name: string, parent: Context, run: (context: Context, span: Span) => Promise<T>): Promise<T> {
 		const span = this.#tracer.startSpan(name, {}, parent);
@@ -69,7 +71,7 @@
 		}
 	}
 
-	/** Sends what is left. */
+	/** Exports the remaining spans and shuts down. */
 	async close(): Promise<void> {
 		await this.#provider.shutdown();
 	}
--- a/packages/proxy/src/server/caller-server.ts
+++ b/packages/proxy/src/server/caller-server.ts
@@ -3,11 +3,13 @@
 import {connectNodeAdapter} from '@connectrpc/connect-node';
 import {type Listeners} from './listeners.js';
 
-/** Options of the caller port. */
+/** Options of the caller ports. */
 export type CallerServerOptions = {
+	/** Maximum size of a request body, in bytes. */
 	readonly maxBodyBytes: number;
+	/** Maximum deadline of a request, in milliseconds. */
 	readonly maxDeadlineMs: number;
-	/** Whether connections are to be closed after their next answer. */
+	/** Returns whether the proxy drains, so that connections are closed after the current response. */
 	isDraining(): boolean;
 };
 
--- a/packages/proxy/src/server/health.ts
+++ b/packages/proxy/src/server/health.ts
@@ -1,9 +1,9 @@
 import {type RequestListener} from 'node:http';
 import {type Metrics} from '../observability/index.js';
 
-/** What the health paths report. */
+/** State that the health and metrics paths report. */
 export type HealthState = {
-	/** Whether new requests are welcome. */
+	/** Returns whether the proxy accepts new requests. */
 	isReady(): boolean;
 	readonly metrics: Metrics;
 };
@@ -11,9 +11,9 @@
 type HealthPage = {readonly status: number; readonly type: string; readonly body: string};
 
 /**
- * Returns a listener that answers liveness, readiness and metrics, and leaves other paths to another.
- * @param state - What to report.
- * @param next - Listener for the other paths.
+ * Creates a listener for the liveness, readiness and metrics paths.
+ * @param state - State to report.
+ * @param next - Listener for all other paths.
  */
 export function createHealthListener(state: HealthState, next: RequestListener): RequestListener {
 	const pages: Readonly<Record<string, () => HealthPage>> = {
--- a/packages/proxy/src/server/listeners.ts
+++ b/packages/proxy/src/server/listeners.ts
@@ -7,14 +7,14 @@
 
 type Http2Listener = (request: Http2ServerRequest, response: Http2ServerResponse) => void;
 
-/** Longest time for a caller to send the headers of a request, in milliseconds. */
+/** Maximum time for a client to send the headers of a request, in milliseconds. */
 const headersTimeoutMs = 10_000;
-/** Longest time for a caller to send a whole request, in milliseconds. */
+/** Maximum time for a client to send a whole request, in milliseconds. */
 const requestTimeoutMs = 30_000;
-/** Time that an idle connection is kept, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const keepAliveTimeoutMs = 75_000;
 
-/** The bound ports of one proxy; what answers on them is set once everything is wired. */
+/** The HTTP servers of one proxy; their request listeners are set once the services exist. */
 export class Listeners {
 	readonly caller: Server;
 	readonly callerHttp2: Http2Server;
@@ -48,7 +48,7 @@
 		return getPort(this.operator);
 	}
 
-	/** Binds the ports for peers and operators; callers come once the proxy is ready to serve. */
+	/** Binds the ports for peers, operators and callers; rejects if one cannot be bound. */
 	async openPorts(): Promise<void> {
 		const {ports, vm} = this.settings;
 		await listen(this.peer, ports.peer, vm.address);
@@ -64,18 +64,18 @@
 		this.callerHttp2.on('request', http2Listener);
 	}
 
-	/** Stops taking callers and waits for the requests in flight. */
+	/** Stops accepting callers and waits for the requests in flight, at most `timeoutMs`; then closes the HTTP/1.1 connections. */
 	async closeCallerPorts(timeoutMs: number): Promise<void> {
 		const closed = [closeServer(this.caller), ...this.callerHttp2.listening ? [closeServer(this.callerHttp2)] : []];
 		this.caller.closeIdleConnections();
-		const limit = new Promise(resolve => {
+		const timeout = new Promise(resolve => {
 			setTimeout(resolve, timeoutMs).unref();
 		});
-		await Promise.race([Promise.all(closed), limit]);
+		await Promise.race([Promise.all(closed), timeout]);
 		this.caller.closeAllConnections();
 	}
 
-	/** Closes the other ports. */
+	/** Closes the peer and operator ports with all their connections. */
 	closePeerAndOperatorPorts(): void {
 		this.peer.close();
 		for (const session of this.#peerSessions) {
--- a/packages/proxy/src/services/caller-handlers.ts
+++ b/packages/proxy/src/services/caller-handlers.ts
@@ -15,10 +15,10 @@
 } from '../requests/index.js';
 import {type TransactionRunner} from '../transactions/index.js';
 
-/** Methods that belong to the VM that holds the transaction. */
+/** Methods that run on the VM that holds the transaction. */
 export type TransactionMethod = 'run' | 'commit' | 'roll-back';
 
-/** Parts that serve the methods of callers. */
+/** Dependencies of the caller handlers. */
 export type CallerHandlerDependencies = {
 	readonly requests: RequestRunner;
 	readonly transactions: TransactionRunner;
@@ -30,7 +30,7 @@
 
 type HandlerResult<T> = Promise<Either<RunRefusal, T>>;
 
-/** The methods of the caller service; those of a transaction are forwarded to the VM that holds it. */
+/** Handlers of the caller service; the methods of a transaction are forwarded to the VM that holds it. */
 export class CallerHandlers {
 	constructor(private readonly dependencies: CallerHandlerDependencies) {}
 
@@ -38,7 +38,7 @@
 		const result = await this.dependencies.requests.runRequest({
 			route: request.route, parameters: request.parameters, session: request.session, acceptedStalenessMs: request.acceptedStalenessMs,
 		}, context);
-		return result.map(({response: answer, session}) => createRunResponse(answer, session));
+		return result.map(({response, session}) => createRunResponse(response, session));
 	}
 
 	async begin(request: BeginRequest, context: RequestContext): HandlerResult<BeginResponse> {
@@ -49,12 +49,12 @@
 	async runInTransaction(request: RunInTransactionRequest, context: RequestContext): HandlerResult<RunResponse> {
 		const body = toBinary(RunInTransactionRequestSchema, request);
 		const bytes = await this.#runOnHolder('run', request.transaction, body, context);
-		return bytes.map(answer => fromBinary(RunResponseSchema, answer));
+		return bytes.map(response => fromBinary(RunResponseSchema, response));
 	}
 
 	async commit(request: CommitRequest, context: RequestContext): HandlerResult<RunResponse> {
 		const bytes = await this.#runOnHolder('commit', request.transaction, toBinary(CommitRequestSchema, request), context);
-		return bytes.map(answer => fromBinary(RunResponseSchema, answer));
+		return bytes.map(response => fromBinary(RunResponseSchema, response));
 	}
 
 	async rollBack(request: RollBackRequest, context: RequestContext): HandlerResult<RollBackResponse> {
@@ -62,7 +62,7 @@
 		return bytes.map(() => create(RollBackResponseSchema));
 	}
 
-	/** Runs a method of a transaction that this VM holds. */
+	/** Runs a method of a transaction that this VM holds, on an encoded request, and returns the encoded response. */
 	async runLocally(method: TransactionMethod, body: Uint8Array, context: RequestContext): HandlerResult<Uint8Array> {
 		return this.#transactionMethods[method](body, context);
 	}
@@ -71,12 +71,12 @@
 		run: async (body, context) => {
 			const request = fromBinary(RunInTransactionRequestSchema, body);
 			const result = await this.dependencies.transactions.runStatement(request, context);
-			return result.bimap(createRunRefusal, answer => toBinary(RunResponseSchema, createRunResponse(answer, '')));
+			return result.bimap(createRunRefusal, response => toBinary(RunResponseSchema, createRunResponse(response, '')));
 		},
 		commit: async (body, context) => {
 			const request = fromBinary(CommitRequestSchema, body);
 			const result = await this.dependencies.transactions.commitTransaction(request.transaction, request.session, context);
-			return result.map(({response: answer, session}) => toBinary(RunResponseSchema, createRunResponse(answer, session)));
+			return result.map(({response, session}) => toBinary(RunResponseSchema, createRunResponse(response, session)));
 		},
 		'roll-back': async (body, context) => {
 			const request = fromBinary(RollBackRequestSchema, body);
@@ -107,12 +107,12 @@
 		}
 
 		const startedAt = clock.getNow();
-		// Connect takes whole milliseconds only.
+		// Connect accepts whole milliseconds only.
 		const timeoutMs = Math.max(1, Math.floor(context.deadline - startedAt));
 		try {
-			const response = await tracing.runInSpan('peer forward', context.trace, async own => peer.client.forward({
+			const response = await tracing.runInSpan('peer forward', context.trace, async spanContext => peer.client.forward({
 				method, body, authorization: context.authorization, idempotencyKey: context.idempotencyKey,
-				timeoutMs, traceparent: tracing.formatTraceparent(own),
+				timeoutMs, traceparent: tracing.formatTraceparent(spanContext),
 			}, {timeoutMs}));
 			metrics.recordDuration('forward', clock.getNow() - startedAt);
 			return response.refusalKind === ''
@@ -125,7 +125,7 @@
 	}
 }
 
-/** Reads a refusal that came from the VM a request was forwarded to. */
+/** Converts a refusal by the VM that a request was forwarded to; an unknown kind becomes `internal`. */
 function parseForwardedRefusal(kind: string, message: string, retryAfterMs: number): Refusal {
 	const errorKind: ErrorKind = isErrorKind(kind) ? kind : 'internal';
 	return new Refusal(errorKind, message, retryAfterMs);
@@ -135,8 +135,8 @@
 	return {refusal, session: ''};
 }
 
-function createRunResponse(answer: EndpointResponse, session: string): RunResponse {
+function createRunResponse(response: EndpointResponse, session: string): RunResponse {
 	return create(RunResponseSchema, {
-		rows: answer.rows, session, servedBy: answer.servedBy, stalenessMs: answer.stalenessMs, replayed: answer.replayed,
+		rows: response.rows, session, servedBy: response.servedBy, stalenessMs: response.stalenessMs, replayed: response.replayed,
 	});
 }
--- a/packages/proxy/src/services/caller-service.ts
+++ b/packages/proxy/src/services/caller-service.ts
@@ -6,13 +6,13 @@
 import {type CallerHandlers} from './caller-handlers.js';
 import {createRefusal, createConnectError} from './connect-error.js';
 
-/** Bounds of the deadlines of requests, in milliseconds. */
+/** Default and maximum time for a request, in milliseconds. */
 export type DeadlineLimits = {
 	readonly defaultMs: number;
 	readonly maxMs: number;
 };
 
-/** Parts of the caller service. */
+/** Dependencies of the caller service. */
 export type CallerServiceDependencies = {
 	readonly handlers: CallerHandlers;
 	readonly clock: Clock;
@@ -20,27 +20,28 @@
 	readonly deadlines: DeadlineLimits;
 };
 
-/** Returns the routes of the caller service. */
-export function createCallerRoutes(parts: CallerServiceDependencies): (router: ConnectRouter) => void {
-	const {handlers} = parts;
-	const runHandler = async <T>(name: string, context: HandlerContext, run: (own: RequestContext) => Promise<Either<RunRefusal, T>>): Promise<T> => {
-		const request = createRequestContext(parts, context);
-		return parts.tracing.runInSpan(`caller ${name}`, request.trace, async trace => getResponseOrThrow(run({...request, trace})));
+/** Creates the routes of the caller service. */
+export function createCallerRoutes(dependencies: CallerServiceDependencies): (router: ConnectRouter) => void {
+	const {handlers} = dependencies;
+	const runHandler = async <T>(name: string, context: HandlerContext, run: (requestContext: RequestContext) => Promise<Either<RunRefusal, T>>): Promise<T> => {
+		const request = createRequestContext(dependencies, context);
+		return dependencies.tracing.runInSpan(`caller ${name}`, request.trace, async trace => getResponseOrThrow(run({...request, trace})));
 	};
 
 	return router => {
 		router.service(DatabaseService, {
-			run: async (request, context) => runHandler('run', context, async own => handlers.run(request, own)),
-			begin: async (request, context) => runHandler('begin', context, async own => handlers.begin(request, own)),
-			runInTransaction: async (request, context) => runHandler('run in transaction', context, async own => handlers.runInTransaction(request, own)),
-			commit: async (request, context) => runHandler('commit', context, async own => handlers.commit(request, own)),
-			rollBack: async (request, context) => runHandler('roll back', context, async own => handlers.rollBack(request, own)),
+			run: async (request, context) => runHandler('run', context, async requestContext => handlers.run(request, requestContext)),
+			begin: async (request, context) => runHandler('begin', context, async requestContext => handlers.begin(request, requestContext)),
+			runInTransaction: async (request, context) => runHandler('run in transaction', context, async requestContext => handlers.runInTransaction(request, requestContext)),
+			commit: async (request, context) => runHandler('commit', context, async requestContext => handlers.commit(request, requestContext)),
+			rollBack: async (request, context) => runHandler('roll back', context, async requestContext => handlers.rollBack(request, requestContext)),
 		});
 	};
 }
 
-/** Time kept back so that a refusal reaches the caller before its deadline, in milliseconds. */
+/** Time reserved at the end of a deadline so that a refusal reaches the caller in time, in milliseconds. */
 const responseMarginMs = 25;
+/** Maximum of the response margin, as a fraction of the deadline. */
 const maxResponseMarginFraction = 0.2;
 
 function createRequestContext({clock, deadlines, tracing}: CallerServiceDependencies, context: HandlerContext): RequestContext {
@@ -66,6 +67,6 @@
 		Left({refusal, session}) {
 			throw createConnectError(refusal, session);
 		},
-		Right: answer => answer,
+		Right: response => response,
 	});
 }
--- a/packages/proxy/src/services/connect-error.ts
+++ b/packages/proxy/src/services/connect-error.ts
@@ -19,26 +19,26 @@
 const msPerSecond = 1000;
 
 /**
- * Writes a refusal as a Connect error: kind, whether it ran, and when to retry.
+ * Creates the Connect error for a refusal, with its kind, execution status and retry delay.
  * @param refusal - The refusal.
- * @param session - Session token to use from now on, empty for no change.
+ * @param session - New session token of the caller, empty if it stays the same.
  */
 export function createConnectError(refusal: Refusal, session = ''): ConnectError {
-	const {details: answer} = refusal;
-	const metadata = new Headers({'chicorysaddle-refusal': refusal.kind, 'chicorysaddle-ran': answer.ran});
-	if (answer.retryable) {
+	const {details} = refusal;
+	const metadata = new Headers({'chicorysaddle-refusal': refusal.kind, 'chicorysaddle-ran': details.ran});
+	if (details.retryable) {
 		metadata.set('retry-after', String(Math.max(1, Math.ceil(refusal.retryAfterMs / msPerSecond))));
 	}
 
-	return new ConnectError(refusal.message, codesByStatus[answer.status], metadata, [{
+	return new ConnectError(refusal.message, codesByStatus[details.status], metadata, [{
 		desc: RefusalDetailSchema,
 		value: {
-			kind: refusal.kind, ran: answer.ran, retryable: answer.retryable, retryAfterMs: Math.ceil(refusal.retryAfterMs), session,
+			kind: refusal.kind, ran: details.ran, retryable: details.retryable, retryAfterMs: Math.ceil(refusal.retryAfterMs), session,
 		},
 	}]);
 }
 
-/** Returns the refusal that an unexpected error stands for. */
+/** Returns the refusal for a thrown value; anything but a refusal becomes an internal error. */
 export function createRefusal(error: unknown): Refusal {
 	return error instanceof Refusal ? error : refusals.internal(error instanceof Error ? error.message : String(error));
 }
--- a/packages/proxy/src/services/operator-service.ts
+++ b/packages/proxy/src/services/operator-service.ts
@@ -14,7 +14,7 @@
 import {type Clock, type Metrics} from '../observability/index.js';
 import {createConnectError} from './connect-error.js';
 
-/** Parts of the operator service. */
+/** Dependencies of the operator service. */
 export type OperatorServiceDependencies = {
 	readonly membership: Membership;
 	readonly configuration: ConfigurationReplica;
@@ -28,11 +28,14 @@
 
 const defaultHistoryLength = 20;
 
-/** Returns an interceptor that lets only operators with a known token through. */
+/**
+ * Creates an interceptor that rejects requests without a valid operator token.
+ * @param tokenHashes - SHA-256 hashes of the valid tokens.
+ */
 export function createOperatorAuthInterceptor(tokenHashes: readonly string[]): Interceptor {
 	return next => async request => {
 		const hash = hashKey(getBearerToken(request.header.get('authorization') ?? '') ?? '');
-		if (!tokenHashes.some(known => isSameHash(known, hash))) {
+		if (!tokenHashes.some(tokenHash => isSameHash(tokenHash, hash))) {
 			throw new ConnectError('the operator token is missing or unknown', Code.Unauthenticated);
 		}
 
@@ -40,16 +43,16 @@
 	};
 }
 
-/** Returns the routes of the operator service. */
-export function createOperatorRoutes(parts: OperatorServiceDependencies): (router: ConnectRouter) => void {
-	const {configuration} = parts;
+/** Creates the routes of the operator service. */
+export function createOperatorRoutes(dependencies: OperatorServiceDependencies): (router: ConnectRouter) => void {
+	const {configuration} = dependencies;
 	return router => {
 		router.service(OperatorService, {
-			getStatus: () => createStatusResponse(parts),
+			getStatus: () => createStatusResponse(dependencies),
 			getConfiguration: () => ({version: BigInt(configuration.version), rows: configuration.current.getRows().filter(row => !row.key.startsWith('secret/')) as never}),
 			getHistory: request => ({changes: configuration.getHistory(request.limit || defaultHistoryLength).map(change => formatChange(change))}),
-			applyChange: async request => applyChange(parts, request),
-			getInForce: request => createInForceResponse(parts, Number(request.version)),
+			applyChange: async request => applyChange(dependencies, request),
+			getInForce: request => createInForceResponse(dependencies, Number(request.version)),
 		});
 	};
 }
@@ -76,14 +79,14 @@
 
 function createInForceResponse({membership, configuration, freshness, clock}: OperatorServiceDependencies, version: number): MessageInitShape<typeof GetInForceResponseSchema> {
 	const now = clock.getNow();
-	const isOwnInForce = configuration.version >= version && freshness.isFresh(configuration.current.getVoterNames(), now);
+	const isLocalInForce = configuration.version >= version && freshness.isFresh(configuration.current.getVoterNames(), now);
 	const isInForce = (peer: Peer) => peer.configurationVersion >= version && membership.isLive(peer, now);
 	const {peers} = membership;
-	const ownName = membership.self.name;
+	const localName = membership.self.name;
 	return {
 		ownVersion: BigInt(configuration.version),
-		inForce: [...isOwnInForce ? [ownName] : [], ...peers.filter(peer => isInForce(peer)).map(peer => peer.name)].toSorted(),
-		pending: [...isOwnInForce ? [] : [ownName], ...peers.filter(peer => !isInForce(peer)).map(peer => peer.name)].toSorted(),
+		inForce: [...isLocalInForce ? [localName] : [], ...peers.filter(peer => isInForce(peer)).map(peer => peer.name)].toSorted(),
+		pending: [...isLocalInForce ? [] : [localName], ...peers.filter(peer => !isInForce(peer)).map(peer => peer.name)].toSorted(),
 	};
 }
 
@@ -95,10 +98,10 @@
 	return peer.isDraining ? 'draining' : 'live';
 }
 
-function createStatusResponse(parts: OperatorServiceDependencies): MessageInitShape<typeof GetStatusResponseSchema> {
+function createStatusResponse(dependencies: OperatorServiceDependencies): MessageInitShape<typeof GetStatusResponseSchema> {
 	const {
 		membership, configuration, freshness, groups, leases, limiter, clock, metrics,
-	} = parts;
+	} = dependencies;
 	const now = clock.getNow();
 	const ageMs = freshness.getAgeMs(configuration.current.getVoterNames(), now);
 	return {
@@ -107,7 +110,7 @@
 		state: membership.isDraining ? 'draining' : 'live',
 		configurationVersion: BigInt(configuration.version),
 		freshnessAgeMs: Number.isFinite(ageMs) ? ageMs : -1,
-		leaseHolder: leases.participants.map(keeper => keeper.findHolderVm(now) ?? 'nobody').join(', '),
+		leaseHolder: leases.participants.map(participant => participant.findHolderVm(now) ?? 'nobody').join(', '),
 		vms: membership.peers.map(peer => ({
 			name: peer.name, zone: peer.zone, state: getPeerState(peer, membership.isLive(peer, now)), configurationVersion: BigInt(peer.configurationVersion),
 		})),
--- a/packages/proxy/src/services/peer-service.ts
+++ b/packages/proxy/src/services/peer-service.ts
@@ -13,7 +13,7 @@
 import {type Clock, type Tracing} from '../observability/index.js';
 import {type CallerHandlers, type TransactionMethod} from './caller-handlers.js';
 
-/** Parts of the peer service. */
+/** Dependencies of the peer service. */
 export type PeerServiceDependencies = {
 	readonly membership: Membership;
 	readonly exchange: PeerStateExchange;
@@ -28,7 +28,7 @@
 
 const transactionMethods: ReadonlySet<string> = new Set<TransactionMethod>(['run', 'commit', 'roll-back']);
 
-/** Returns an interceptor that lets only peers with the secret through. */
+/** Creates an interceptor that rejects requests without the peer secret. */
 export function createPeerAuthInterceptor(secret: string): Interceptor {
 	const expected = hashKey(secret);
 	return next => async request => {
@@ -40,11 +40,11 @@
 	};
 }
 
-/** Returns the routes of the peer service. */
-export function createPeerRoutes(parts: PeerServiceDependencies): (router: ConnectRouter) => void {
+/** Creates the routes of the peer service. */
+export function createPeerRoutes(dependencies: PeerServiceDependencies): (router: ConnectRouter) => void {
 	const {
 		membership, exchange, configuration, freshness, leases, limiter,
-	} = parts;
+	} = dependencies;
 	return router => {
 		router.service(PeerService, {
 			exchange: request => exchange.handleRequest(request),
@@ -54,15 +54,15 @@
 				return {version: BigInt(configuration.version), synchronized: freshness.isSynchronized, vm: membership.self.name};
 			},
 			promiseLease(request) {
-				const keeper = leases.getParticipant(request.lease);
-				if (keeper === undefined) {
+				const participant = leases.getParticipant(request.lease);
+				if (participant === undefined) {
 					return {promised: false};
 				}
 
-				const answer = keeper.handlePromiseRequest({
+				const response = participant.handlePromiseRequest({
 					holder: request.holder, term: Number(request.term), durationMs: request.durationMs, predecessor: request.predecessor,
 				}, Number(request.configurationVersion));
-				return {...answer, term: BigInt(answer.term), remainingMs: Math.ceil(answer.remainingMs)};
+				return {...response, term: BigInt(response.term), remainingMs: Math.ceil(response.remainingMs)};
 			},
 			releaseLease(request) {
 				leases.getParticipant(request.lease)?.releasePromise(request.holder);
@@ -70,7 +70,7 @@
 			},
 			reportDemand: request => formatGrant(limiter.handleReport(parseReport(request), request.lease)),
 			handOver: async request => ({taken: await limiter.takeOver(request.lease, request.holder, Number(request.term), parseAllocatorState(request))}),
-			forward: async request => runForwardedRequest(parts, request),
+			forward: async request => runForwardedRequest(dependencies, request),
 		});
 	};
 }
