--- a/packages/proxy/src/wiring/container.ts
+++ b/packages/proxy/src/wiring/container.ts
@@ -18,23 +18,23 @@
 import {type Settings} from '../settings/index.js';
 import {TransactionRegistry, TransactionRunner} from '../transactions/index.js';
 
-/** Name of the row that holds the signing key of session tokens. */
+/** Name of the secret in the configuration that signs session tokens. */
 export const sessionSecretName = 'session';
 
 const incarnationLengthBytes = 6;
 const idPrefixLengthBytes = 12;
 
-/** What the parts are looked up by. */
+/** Identifiers of the services that have no class of their own. */
 export const serviceIdentifiers = {
 	settings: Symbol('settings') as ServiceIdentifier<Settings>,
 	clock: Symbol('clock') as ServiceIdentifier<Clock>,
-	requestDependencies: Symbol('request parts') as ServiceIdentifier<RequestDependencies>,
+	requestDependencies: Symbol('request dependencies') as ServiceIdentifier<RequestDependencies>,
 } as const;
 
 /**
- * Wires the parts of one proxy.
- * @param settings - Checked settings.
- * @param peerAddress - Address of the bound peer port.
+ * Creates the container with the services of one proxy.
+ * @param settings - Validated settings.
+ * @param peerAddress - Address and port of the bound peer listener, which other VMs connect to.
  */
 export function createContainer(settings: Settings, peerAddress: string): Container {
 	const container = new Container({defaultScope: 'Singleton'});
@@ -110,7 +110,7 @@
 	})).inSingletonScope();
 }
 
-/** Returns a source of identities: random ones for this process, numbered. */
+/** Creates a generator of unique IDs: a random prefix per process and a counter. */
 function createIdGenerator(): () => string {
 	const prefix = randomBytes(idPrefixLengthBytes).toString('base64url');
 	let lastNumber = 0;
--- a/packages/proxy/src/wiring/proxy.ts
+++ b/packages/proxy/src/wiring/proxy.ts
@@ -18,14 +18,14 @@
 import {TransactionRegistry} from '../transactions/index.js';
 import {createContainer, serviceIdentifiers} from './container.js';
 
-/** Pauses of the repeated tasks, in milliseconds. */
+/** Delays between the runs of the repeated tasks, in milliseconds. */
 const taskDelaysMs = {
 	vmList: 2000,
 	storePoll: 1000,
 	tick: 100,
-	balance: 1000,
-	sweep: 500,
-	voters: 2000,
+	leaseRebalancing: 1000,
+	transactionSweep: 500,
+	voterReconciliation: 2000,
 } as const;
 
 /** One running proxy. */
@@ -52,7 +52,7 @@
 		return this.#listeners.peerPort;
 	}
 
-	/** Binds the ports and starts to work. */
+	/** Binds the ports and starts serving; rejects if a port cannot be bound. */
 	static async start(settings: Settings): Promise<Proxy> {
 		const listeners = new Listeners(settings);
 		await listeners.openPorts();
@@ -63,19 +63,19 @@
 		return proxy;
 	}
 
-	/** Whether new requests are welcome. */
+	/** Returns whether the proxy accepts new requests. */
 	isReady(): boolean {
 		const hasAllocator = this.settings.policy.limits !== 'product' || this.#getService(LeaseRegistry).isEveryLeaseHeld(this.#container.get(serviceIdentifiers.clock).getNow());
 		return !this.#getService(Membership).isDraining && hasAllocator && this.#getService(CallerAuthenticator).checkIdentity({account: '', keyHash: ''}).isRight() && this.#getService(ConfigurationReplica).version > 0 && this.#getService(GroupRegistry).areAllInstancesProbed;
 	}
 
-	/** Becomes unready, finishes what is in flight, gives shares back and closes. */
+	/** Reports unready, waits for transactions and requests in flight, returns the limit shares and leases, and closes. */
 	async drain(): Promise<void> {
 		const {timeouts} = this.settings;
 		const logger = this.#getService(Logger);
 		logger.info('drain started');
 		this.#getService(Membership).isDraining = true;
-		await wait(timeouts.drain_grace_ms);
+		await delay(timeouts.drain_grace_ms);
 		await this.#waitForTransactions(timeouts.drain_limit_ms);
 		await this.#listeners.closeCallerPorts(timeouts.drain_limit_ms);
 		await this.#getService(AccountLimiter).returnSharesAndLeases();
@@ -83,7 +83,7 @@
 		await this.close();
 	}
 
-	/** Stops everything at once. */
+	/** Closes the proxy without waiting for requests in flight. */
 	async close(): Promise<void> {
 		if (this.#isClosed) {
 			return;
@@ -110,14 +110,14 @@
 		const pollIntervalMs = 50;
 		const registry = this.#getService(TransactionRegistry);
 		for (let waitedMs = 0; registry.size > 0 && waitedMs < timeoutMs; waitedMs += pollIntervalMs) {
-			await wait(pollIntervalMs);
+			await delay(pollIntervalMs);
 		}
 	}
 
 	#registerServices(): void {
 		const clock = this.#container.get(serviceIdentifiers.clock);
 		const {timeouts, requests, peers, operator} = this.settings;
-		const parts = {
+		const dependencies = {
 			membership: this.#getService(Membership),
 			exchange: this.#getService(PeerStateExchange),
 			configuration: this.#getService(ConfigurationReplica),
@@ -130,14 +130,14 @@
 			tracing: this.#getService(Tracing),
 			clock,
 		};
-		serveCallers(this.#listeners, createCallerRoutes({...parts, deadlines: {defaultMs: timeouts.default_deadline_ms, maxMs: timeouts.longest_deadline_ms}}), {
+		serveCallers(this.#listeners, createCallerRoutes({...dependencies, deadlines: {defaultMs: timeouts.default_deadline_ms, maxMs: timeouts.longest_deadline_ms}}), {
 			maxBodyBytes: requests.max_body_bytes,
 			maxDeadlineMs: timeouts.longest_deadline_ms,
-			isDraining: () => parts.membership.isDraining,
+			isDraining: () => dependencies.membership.isDraining,
 		});
-		this.#listeners.peer.on('request', connectNodeAdapter({routes: createPeerRoutes(parts), interceptors: [createPeerAuthInterceptor(peers.secret)]}));
-		const operatorAdapter = connectNodeAdapter({routes: createOperatorRoutes(parts), interceptors: [createOperatorAuthInterceptor(operator.token_hashes)]});
-		this.#listeners.operator.on('request', createHealthListener({isReady: () => this.isReady(), metrics: parts.metrics}, operatorAdapter));
+		this.#listeners.peer.on('request', connectNodeAdapter({routes: createPeerRoutes(dependencies), interceptors: [createPeerAuthInterceptor(peers.secret)]}));
+		const operatorAdapter = connectNodeAdapter({routes: createOperatorRoutes(dependencies), interceptors: [createOperatorAuthInterceptor(operator.token_hashes)]});
+		this.#listeners.operator.on('request', createHealthListener({isReady: () => this.isReady(), metrics: dependencies.metrics}, operatorAdapter));
 		this.#addGauges();
 	}
 
@@ -157,14 +157,14 @@
 		const membership = this.#getService(Membership);
 		const groups = this.#getService(GroupRegistry);
 		const exchange = this.#getService(PeerStateExchange);
-		const gate = this.#getService(CallerAuthenticator);
+		const authenticator = this.#getService(CallerAuthenticator);
 		const registry = this.#getService(TransactionRegistry);
 		const configureGroups = () => {
 			groups.applyConfiguration(configuration.current, membership.getVms(), membership.countEndpointSharers(configuration.current.getVoterNames()));
 		};
 
-		const sweep = () => {
-			registry.removeInvalid(caller => gate.checkIdentity(caller).isRight());
+		const removeInvalidTransactions = () => {
+			registry.removeInvalid(caller => authenticator.checkIdentity(caller).isRight());
 		};
 
 		configuration.addListener(rows => {
@@ -173,39 +173,39 @@
 			}
 
 			if (rows.some(row => row.kind === 'key' || row.kind === 'account')) {
-				sweep();
+				removeInvalidTransactions();
 			}
 		});
 		this.#startTask('store poll', taskDelaysMs.storePoll, async () => {
 			await configuration.pollStore();
 		});
 		this.#startTask('VM list', taskDelaysMs.vmList, async () => {
-			const known = membership.peers;
+			const knownPeers = membership.peers;
 			await membership.refreshVmList();
 			configureGroups();
-			await Promise.all(membership.peers.filter(peer => !known.includes(peer)).map(async peer => exchange.pollPeer(peer)));
+			await Promise.all(membership.peers.filter(peer => !knownPeers.includes(peer)).map(async peer => exchange.pollPeer(peer)));
 		});
 		this.#startTask('exchange', this.settings.peers.exchange_ms, async () => exchange.pollPeers());
-		this.#startTask('balance', taskDelaysMs.balance, async () => this.#getService(AccountLimiter).rebalanceLeases());
-		// One timer for whatever is due many times a second: each wake-up of an idle process costs more than the work.
+		this.#startTask('balance', taskDelaysMs.leaseRebalancing, async () => this.#getService(AccountLimiter).rebalanceLeases());
+		// One timer for all frequent work, because waking up an idle process costs more than the work itself.
 		this.#startTask('tick', taskDelaysMs.tick, () => {
 			void this.#getService(LeaseRegistry).renewOrSeek();
 			void this.#getService(AccountLimiter).reportDemand();
 			groups.checkGroups();
 			exchange.pollWatchersOfSuspectedGroups();
 		});
-		this.#startTask('sweep', taskDelaysMs.sweep, sweep);
-		this.#startTask('voters', taskDelaysMs.voters, async () => this.#getService(VoterReconciler).reconcile());
+		this.#startTask('sweep', taskDelaysMs.transactionSweep, removeInvalidTransactions);
+		this.#startTask('voters', taskDelaysMs.voterReconciliation, async () => this.#getService(VoterReconciler).reconcile());
 	}
 
 	#startTask(name: string, delayMs: number, task: () => Promise<void> | void): void {
-		const repeated = new RepeatedTask(name, () => delayMs, task, this.#getService(Logger));
-		this.#tasks.push(repeated);
-		repeated.start();
+		const repeatedTask = new RepeatedTask(name, () => delayMs, task, this.#getService(Logger));
+		this.#tasks.push(repeatedTask);
+		repeatedTask.start();
 	}
 }
 
-async function wait(durationMs: number): Promise<void> {
+async function delay(durationMs: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, durationMs);
 	});
