--- a/packages/proxy/src/limits/account-limiter.ts
+++ b/packages/proxy/src/limits/account-limiter.ts
@@ -13,21 +13,21 @@
 import {formatAllocatorState} from './allocator-state-codec.js';
 import {formatReport, parseGrant} from './share-codec.js';
 
-/** Names of the ways to divide limits between VMs. */
+/** Names of the policies that divide the limits of an account between VMs. */
 export type LimitPolicyName = 'product' | 'static-split' | 'owner';
 
 const reportTimeoutMs = 400;
 const handOverTimeoutMs = 1000;
 const sweepIntervalMs = 10;
-/** Validity of a share that never changes hands, in milliseconds. */
+/** Validity of a share under the static split, in milliseconds: practically unlimited. */
 const staticShareValidityMs = 1e12;
 
-/** How a successor answered; one that did not answer may have taken the books. */
+/** How a successor answered the hand-over of a lease; after no answer it may still have taken over. */
 type HandOverOutcome = 'taken' | 'declined' | 'no-answer';
 
 type PendingRequest = {readonly account: string; readonly resolve: (result: Either<Refusal, void>) => void};
 
-/** Parts that the limiter works with. */
+/** Dependencies of an `AccountLimiter`. */
 export type AccountLimiterDependencies = {
 	readonly membership: Membership;
 	readonly configuration: ConfigurationReplica;
@@ -38,27 +38,27 @@
 	readonly policy: LimitPolicyName;
 };
 
-/** Keeps every client account to its rate and burst over all VMs together. */
+/** Enforces the rate and burst limit of each client account across all VMs. */
 export class AccountLimiter {
 	readonly #allocatorClients = new Map<string, AllocatorClient>();
 	readonly #pendingRequests = new Map<number, PendingRequest>();
-	/** Allocators of the leases that this VM holds; one without a name under the policy of owners. */
+	/** Allocators by the lease that this VM holds; under the `owner` policy, one allocator with an empty name. */
 	readonly #allocators = new Map<string, ShareAllocator>();
-	/** Books of predecessors, until their lease is had. */
+	/** Allocator states of predecessors by lease, until the lease is acquired. */
 	readonly #incomingStates = new Map<string, AllocatorState>();
 	#nextId = 1;
 	#sweepTimer: NodeJS.Timeout | undefined;
 
 	constructor(private readonly dependencies: AccountLimiterDependencies) {
-		for (const keeper of dependencies.leases.participants) {
-			keeper.setAcquiredListener(now => {
+		for (const participant of dependencies.leases.participants) {
+			participant.setAcquiredListener(now => {
 				const allocator = this.#createAllocator(now);
-				const state = this.#incomingStates.get(keeper.lease);
+				const state = this.#incomingStates.get(participant.lease);
 				if (state !== undefined) {
 					allocator.importState(state, now);
 				}
 
-				this.#allocators.set(keeper.lease, allocator);
+				this.#allocators.set(participant.lease, allocator);
 			});
 		}
 
@@ -67,7 +67,7 @@
 		}
 	}
 
-	/** Waits until a request may run, or refuses it. */
+	/** Waits until the limits of an account admit a request, or refuses the request. */
 	async admitRequest(account: string, deadline: number): Promise<Either<Refusal, void>> {
 		const {clock} = this.dependencies;
 		if (this.#getLimits(account) === undefined) {
@@ -76,13 +76,13 @@
 
 		const id = this.#nextId;
 		this.#nextId += 1;
-		const channel = this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account));
-		const decision = channel.admission.requestAdmission(id, account, deadline, clock.getNow());
+		const client = this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account));
+		const decision = client.admission.requestAdmission(id, account, deadline, clock.getNow());
 		if (decision !== undefined) {
 			return this.#createResult(decision, account);
 		}
 
-		void channel.sendReportIfDue().then(() => {
+		void client.sendReportIfDue().then(() => {
 			this.#resolveDecidedRequests();
 		});
 		return new Promise(resolve => {
@@ -91,70 +91,70 @@
 		});
 	}
 
-	/** Reports the demand of every account, as is done at regular times. */
+	/** Sends the demand reports that are due, to be called at regular intervals; under the `static-split` policy, updates the local shares instead. */
 	async reportDemand(): Promise<void> {
 		if (this.dependencies.policy === 'static-split') {
 			this.#applyStaticSplit();
 			return;
 		}
 
-		await Promise.all([...this.#allocatorClients.values()].map(async channel => channel.sendReportIfDue()));
+		await Promise.all([...this.#allocatorClients.values()].map(async client => client.sendReportIfDue()));
 		this.#resolveDecidedRequests();
 	}
 
-	/** Answers the report of a VM, where this one is the allocator. */
+	/** Returns the grant for a demand report, undefined where this VM is not the allocator. */
 	handleReport(report: DemandReport, lease: string): ShareGrant | undefined {
 		const now = this.dependencies.clock.getNow();
 		if (this.dependencies.policy === 'owner') {
 			return this.#allocators.get('')?.createGrant(report, Number.POSITIVE_INFINITY, now);
 		}
 
-		const keeper = this.dependencies.leases.getParticipant(lease);
-		return keeper?.isHeld(now) ? this.#allocators.get(lease)?.createGrant(report, keeper.heldUntil, now) : undefined;
+		const participant = this.dependencies.leases.getParticipant(lease);
+		return participant?.isHeld(now) ? this.#allocators.get(lease)?.createGrant(report, participant.heldUntil, now) : undefined;
 	}
 
-	/** Takes over the books of an allocator whose VM shuts down, where its lease can be had. */
+	/** Takes over a lease with the state of its allocator from a predecessor; returns whether the lease was acquired. */
 	async takeOver(lease: string, predecessor: string, term: number, state: AllocatorState): Promise<boolean> {
 		if (this.dependencies.membership.isDraining) {
 			return false;
 		}
 
-		const keeper = this.dependencies.leases.getParticipant(lease);
+		const participant = this.dependencies.leases.getParticipant(lease);
 		this.#incomingStates.set(lease, state);
-		const isTaken = await keeper?.takeOver(predecessor, term) ?? false;
+		const isTaken = await participant?.takeOver(predecessor, term) ?? false;
 		this.#incomingStates.delete(lease);
 		return isTaken;
 	}
 
-	/** Hands leases over to the VMs that rank first for them, so that the loss of a VM touches few accounts. */
+	/** Hands leases over to the VMs that rank first for them, so that the loss of a VM affects few accounts. */
 	async rebalanceLeases(): Promise<void> {
 		const {leases, clock, membership} = this.dependencies;
-		for (const keeper of leases.participants) {
-			const successor = this.#findSuccessor(keeper.lease);
-			const allocator = this.#allocators.get(keeper.lease);
+		for (const participant of leases.participants) {
+			const successor = this.#findSuccessor(participant.lease);
+			const allocator = this.#allocators.get(participant.lease);
 			const isMisplaced = successor !== undefined && successor !== membership.self.name && membership.isStable(successor);
-			if (!isMisplaced || allocator === undefined || !keeper.isHeld(clock.getNow())) {
+			if (!isMisplaced || allocator === undefined || !participant.isHeld(clock.getNow())) {
 				continue;
 			}
 
-			const outcome = await this.#handOver(keeper, successor, allocator);
+			const outcome = await this.#handOver(participant, successor, allocator);
 			if (outcome === 'declined') {
-				this.#allocators.set(keeper.lease, allocator);
+				this.#allocators.set(participant.lease, allocator);
 			} else {
-				keeper.releaseLocally();
+				participant.releaseLocally();
 			}
 		}
 	}
 
-	/** Gives all shares back to the allocator. */
+	/** Returns all shares to their allocators. */
 	async returnShares(): Promise<void> {
-		await Promise.all([...this.#allocatorClients.values()].map(async channel => channel.sendFinalReport()));
+		await Promise.all([...this.#allocatorClients.values()].map(async client => client.sendFinalReport()));
 	}
 
-	/** Gives all shares back, and the leases that this VM holds. */
+	/** Returns all shares, then hands over or releases the leases that this VM holds. */
 	async returnSharesAndLeases(): Promise<void> {
 		await this.returnShares();
-		await Promise.all(this.dependencies.leases.participants.map(async keeper => this.#handOverOrRelease(keeper)));
+		await Promise.all(this.dependencies.leases.participants.map(async participant => this.#handOverOrRelease(participant)));
 	}
 
 	/** Returns the tokens that this VM holds for an account. */
@@ -162,6 +162,7 @@
 		return this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account)).admission.holder.getTokens(account, this.dependencies.clock.getNow());
 	}
 
+	/** Returns the part of an account's rate that is granted to this VM, in tokens per second. */
 	getLocalRate(account: string): number {
 		return this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account)).admission.holder.getRate(account, this.dependencies.clock.getNow());
 	}
@@ -187,33 +188,33 @@
 
 	#getAllocatorClient(name: string): AllocatorClient {
 		const {membership, clock} = this.dependencies;
-		const known = this.#allocatorClients.get(name);
-		if (known !== undefined) {
-			return known;
+		const existing = this.#allocatorClients.get(name);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const channel = new AllocatorClient(membership.self.name, membership.self.incarnation, account => this.#getLimits(account), async report => this.#sendReport(report, name), clock);
-		this.#allocatorClients.set(name, channel);
-		return channel;
+		const client = new AllocatorClient(membership.self.name, membership.self.incarnation, account => this.#getLimits(account), async report => this.#sendReport(report, name), clock);
+		this.#allocatorClients.set(name, client);
+		return client;
 	}
 
-	/** Sends a report to the allocator of a channel, which is named for a lease or for the owner itself. */
-	async #sendReport(report: DemandReport, channel: string): Promise<ShareGrant | undefined> {
+	/** Sends a demand report to an allocator, named after its lease or, under the `owner` policy, after its VM. */
+	async #sendReport(report: DemandReport, allocatorName: string): Promise<ShareGrant | undefined> {
 		const {membership, leases, clock, metrics} = this.dependencies;
-		const keeper = leases.getParticipant(channel);
-		const target = keeper === undefined ? channel : keeper.findHolderVm(clock.getNow());
-		if (target === membership.self.name) {
-			return this.handleReport(report, channel);
+		const participant = leases.getParticipant(allocatorName);
+		const allocatorVm = participant === undefined ? allocatorName : participant.findHolderVm(clock.getNow());
+		if (allocatorVm === membership.self.name) {
+			return this.handleReport(report, allocatorName);
 		}
 
-		const peer = target === undefined ? undefined : membership.getPeer(target);
+		const peer = allocatorVm === undefined ? undefined : membership.getPeer(allocatorVm);
 		if (peer === undefined) {
 			return undefined;
 		}
 
 		metrics.addCount('limit_reports');
 		try {
-			return parseGrant(await peer.client.reportDemand({...formatReport(report), lease: channel}, {timeoutMs: reportTimeoutMs}));
+			return parseGrant(await peer.client.reportDemand({...formatReport(report), lease: allocatorName}, {timeoutMs: reportTimeoutMs}));
 		} catch {
 			return undefined;
 		}
@@ -223,45 +224,45 @@
 		return rankVms(account, this.dependencies.membership.getLiveVms())[0] ?? this.dependencies.membership.self.name;
 	}
 
-	/** Returns the VM that ranks first for a lease. */
+	/** Returns the live voter that ranks first for a lease. */
 	#findSuccessor(lease: string): string | undefined {
 		const {membership, configuration} = this.dependencies;
 		const voters = configuration.current.getVoterNames();
 		return rankVms(lease, membership.getLiveVms().filter(name => voters.includes(name)))[0];
 	}
 
-	/** Hands a lease over; where nobody takes it, it is released once every grant has expired. */
-	async #handOverOrRelease(keeper: LeaseParticipant): Promise<void> {
-		const successor = this.#findSuccessor(keeper.lease);
-		const allocator = this.#allocators.get(keeper.lease);
-		if (!keeper.isHeld(this.dependencies.clock.getNow()) || allocator === undefined) {
+	/** Hands a lease over; if no VM takes it, releases it once every grant has expired. */
+	async #handOverOrRelease(participant: LeaseParticipant): Promise<void> {
+		const successor = this.#findSuccessor(participant.lease);
+		const allocator = this.#allocators.get(participant.lease);
+		if (!participant.isHeld(this.dependencies.clock.getNow()) || allocator === undefined) {
 			return;
 		}
 
-		const outcome = successor === undefined ? 'declined' : await this.#handOver(keeper, successor, allocator);
-		keeper.releaseLocally();
+		const outcome = successor === undefined ? 'declined' : await this.#handOver(participant, successor, allocator);
+		participant.releaseLocally();
 		if (outcome !== 'taken') {
 			await new Promise(resolve => {
 				setTimeout(resolve, defaultAllocatorOptions.validMs);
 			});
-			await keeper.releasePromises();
+			await participant.releasePromises();
 		}
 	}
 
-	/** Stops granting and offers the books and the lease to a successor. */
-	async #handOver(keeper: LeaseParticipant, successor: string, allocator: ShareAllocator): Promise<HandOverOutcome> {
-		this.#allocators.delete(keeper.lease);
+	/** Stops granting, then offers the lease and the state of the allocator to a successor. */
+	async #handOver(participant: LeaseParticipant, successor: string, allocator: ShareAllocator): Promise<HandOverOutcome> {
+		this.#allocators.delete(participant.lease);
 		const {clock, logger} = this.dependencies;
 		const state = allocator.exportState(clock.getNow());
 		try {
 			const response = await this.dependencies.membership.getPeer(successor)!.client.handOver({
-				...formatAllocatorState(state), lease: keeper.lease, holder: keeper.id, term: BigInt(keeper.term),
+				...formatAllocatorState(state), lease: participant.lease, holder: participant.id, term: BigInt(participant.term),
 			}, {timeoutMs: handOverTimeoutMs});
 			const outcome = response.taken ? 'taken' : 'declined';
-			logger.info('lease handed over', {lease: keeper.lease, successor, outcome});
+			logger.info('lease handed over', {lease: participant.lease, successor, outcome});
 			return outcome;
 		} catch (error) {
-			logger.warn('hand-over of a lease not answered', {lease: keeper.lease, successor, error: String(error)});
+			logger.warn('hand-over of a lease not answered', {lease: participant.lease, successor, error: String(error)});
 			return 'no-answer';
 		}
 	}
@@ -282,11 +283,11 @@
 	}
 
 	#resolveDecidedRequests(): void {
-		for (const channel of this.#allocatorClients.values()) {
-			for (const decision of channel.admission.processWaiters(this.dependencies.clock.getNow())) {
-				const pending = this.#pendingRequests.get(decision.id);
+		for (const client of this.#allocatorClients.values()) {
+			for (const decision of client.admission.processWaiters(this.dependencies.clock.getNow())) {
+				const request = this.#pendingRequests.get(decision.id);
 				this.#pendingRequests.delete(decision.id);
-				pending?.resolve(this.#createResult(decision, pending.account));
+				request?.resolve(this.#createResult(decision, request.account));
 			}
 		}
 	}
@@ -296,8 +297,8 @@
 			this.#sweepTimer = undefined;
 			this.#resolveDecidedRequests();
 			if (this.#pendingRequests.size > 0) {
-				for (const channel of this.#allocatorClients.values()) {
-					void channel.sendReportIfDue().then(() => {
+				for (const client of this.#allocatorClients.values()) {
+					void client.sendReportIfDue().then(() => {
 						this.#resolveDecidedRequests();
 					});
 				}
--- a/packages/proxy/src/limits/allocator-client.ts
+++ b/packages/proxy/src/limits/allocator-client.ts
@@ -3,10 +3,10 @@
 } from '@chicorysaddle/decisions';
 import {type Clock} from '../observability/index.js';
 
-/** Sends a report to the allocator and returns its grant, undefined when there is none. */
+/** Sends a demand report to the allocator; returns its grant, undefined when it grants nothing or does not answer. */
 export type ReportSender = (report: DemandReport) => Promise<ShareGrant | undefined>;
 
-/** Admission against the shares of one allocator, with at most one report under way. */
+/** Admits requests against the shares granted by one allocator, with at most one report in flight. */
 export class AllocatorClient {
 	readonly admission: AdmissionControl;
 	#isReporting = false;
@@ -15,16 +15,16 @@
 		this.admission = new AdmissionControl(getLimits);
 	}
 
-	/** Sends the report that is due, where none is under way. */
+	/** Sends the report that is due, unless another one is in flight. */
 	async sendReportIfDue(): Promise<void> {
 		const sentAt = this.clock.getNow();
-		const due = this.#isReporting ? undefined : this.admission.getDueReportKind(sentAt);
-		if (due === undefined) {
+		const reportKind = this.#isReporting ? undefined : this.admission.getDueReportKind(sentAt);
+		if (reportKind === undefined) {
 			return;
 		}
 
 		this.#isReporting = true;
-		const isPartial = due === 'partial';
+		const isPartial = reportKind === 'partial';
 		const grant = await this.sendReport(this.admission.createReport(this.vm, this.incarnation, isPartial, sentAt));
 		if (grant !== undefined) {
 			this.admission.applyGrant(grant, sentAt, isPartial, this.clock.getNow());
@@ -33,7 +33,7 @@
 		this.#isReporting = false;
 	}
 
-	/** Gives everything back. */
+	/** Sends the final report, which returns all tokens and shares; no other report follows. */
 	async sendFinalReport(): Promise<void> {
 		this.#isReporting = true;
 		await this.sendReport(this.admission.createFinalReport(this.vm, this.incarnation, this.clock.getNow()));
--- a/packages/proxy/src/limits/allocator-state-codec.ts
+++ b/packages/proxy/src/limits/allocator-state-codec.ts
@@ -2,7 +2,7 @@
 import {type AllocatorState} from '@chicorysaddle/decisions';
 import {type HandOverRequest, type HandOverRequestSchema} from '@chicorysaddle/protocol';
 
-/** Reads the books of an allocator off the wire. */
+/** Parses the state of an allocator from a hand-over request. */
 export function parseAllocatorState(request: HandOverRequest): AllocatorState {
 	return {
 		sequence: Number(request.sequence),
@@ -18,7 +18,7 @@
 	};
 }
 
-/** Writes the books of an allocator for the wire. */
+/** Formats the state of an allocator for a hand-over request. */
 export function formatAllocatorState(state: AllocatorState): MessageInitShape<typeof HandOverRequestSchema> {
 	return {
 		sequence: BigInt(state.sequence),
--- a/packages/proxy/src/limits/lease-participant.ts
+++ b/packages/proxy/src/limits/lease-participant.ts
@@ -13,7 +13,7 @@
 const staggerMs = 60;
 const promiseTimeoutMs = 300;
 
-/** Seeks and keeps one lease, and promises it to others. */
+/** Acquires and renews one lease as a candidate, and votes on it for the other VMs. */
 export class LeaseParticipant {
 	readonly #voter: LeaseVoter;
 	readonly #candidate = new LeaseCandidate({durationMs: leaseMs, renewalMs: renewalIntervalMs, staggerMs});
@@ -42,12 +42,12 @@
 		return this.#candidate.isHeld(now);
 	}
 
-	/** Sets what is done when the lease is gained. */
+	/** Sets the listener that is called when this VM acquires the lease. */
 	setAcquiredListener(listener: (now: number) => void): void {
 		this.#onAcquired = listener;
 	}
 
-	/** Returns the holder as this VM knows it, empty for none; a promise to itself is not the lease yet. */
+	/** Returns the holder known to this VM, empty for none. A promise by this VM to itself does not count, since the lease takes a majority. */
 	getHolder(now: number): string {
 		const promised = this.#voter.getHolder(now);
 		if (this.isHeld(now)) {
@@ -57,18 +57,18 @@
 		return promised === this.id ? '' : promised;
 	}
 
-	/** Returns the name of the VM that holds the lease, by the newest word known. */
+	/** Returns the name of the VM that holds the lease, from the report with the highest term, undefined if no holder is known. */
 	findHolderVm(now: number): string | undefined {
-		const own = this.getHolder(now);
+		const ownHolder = this.getHolder(now);
 		const reports = this.membership.peers
 			.filter(peer => this.membership.isLive(peer, now))
 			.flatMap(peer => peer.leases.get(this.lease) ?? [])
 			.filter(({holder}) => holder !== '');
-		const [newest] = [...own === '' ? [] : [{holder: own, term: this.term}], ...reports].toSorted((a, b) => b.term - a.term);
+		const [newest] = [...ownHolder === '' ? [] : [{holder: ownHolder, term: this.term}], ...reports].toSorted((a, b) => b.term - a.term);
 		return newest?.holder.split('#', 1)[0];
 	}
 
-	/** Answers a candidate; one whose configuration is older may not know all voters. */
+	/** Answers a candidate's request. A candidate with an older configuration gets no promise, since it may not know all voters. */
 	handlePromiseRequest(request: PromiseRequest, configurationVersion: number): PromiseAnswer {
 		const now = this.clock.getNow();
 		this.#candidate.observeTerm(request.term - 1);
@@ -79,11 +79,12 @@
 			: this.#voter.handlePromiseRequest(request, now);
 	}
 
+	/** Releases the promise that this VM made to a holder. */
 	releasePromise(holder: string): void {
 		this.#voter.release(holder);
 	}
 
-	/** Renews the lease, or seeks it when it is vacant. */
+	/** Renews the lease when that is due, or tries to acquire it when it is vacant. */
 	async renewOrSeek(): Promise<void> {
 		const now = this.clock.getNow();
 		const voters = this.configuration.current.getVoterNames();
@@ -104,7 +105,7 @@
 		}
 	}
 
-	/** Seeks the lease at once, as the successor that its holder has chosen. */
+	/** Tries to acquire the lease at once, as the successor chosen by its holder; returns whether it is held. */
 	async takeOver(predecessor: string, term: number): Promise<boolean> {
 		const now = this.clock.getNow();
 		this.#predecessor = predecessor;
@@ -114,18 +115,19 @@
 		return this.isHeld(this.clock.getNow());
 	}
 
-	/** Gives the lease up; the caller makes sure that nothing granted under it is in use. */
+	/** Stops holding the lease, without notifying the voters. The caller makes sure that no grant made under it is in use. */
 	releaseLocally(): void {
 		this.#candidate.releaseLease(this.clock.getNow());
 	}
 
+	/** Releases the promises that the VMs made to this one. */
 	async releasePromises(): Promise<void> {
 		this.#voter.release(this.id);
 		await Promise.all(this.membership.peers.map(async peer => {
 			try {
 				await peer.client.releaseLease({lease: this.lease, holder: this.id}, {timeoutMs: promiseTimeoutMs});
 			} catch {
-				// The promise runs out by itself.
+				// The peer's promise expires.
 			}
 		}));
 	}
@@ -140,7 +142,7 @@
 				this.#onAcquired(now);
 			}
 		}));
-		// A lease that was held may have grants in use: it is left to run out.
+		// Grants made under a lease that was held may still be in use: its promises are left to expire.
 		if (!wasHeld && !this.isHeld(this.clock.getNow())) {
 			await this.releasePromises();
 		}
--- a/packages/proxy/src/limits/lease-registry.ts
+++ b/packages/proxy/src/limits/lease-registry.ts
@@ -4,15 +4,15 @@
 import {type Membership} from '../membership/index.js';
 import {LeaseParticipant} from './lease-participant.js';
 
-/** Parts that the client accounts are divided into; each has an allocator, so that the loss of one touches few. */
+/** Number of partitions of the client accounts; each has its own allocator, so that the loss of one affects few accounts. */
 export const partitionCount = 4;
 
-/** The leases of the allocators, one for each part of the client accounts. */
+/** Leases of the allocators, one for each partition of the client accounts. */
 export class LeaseRegistry {
 	readonly #participants: readonly LeaseParticipant[];
 
 	constructor(membership: Membership, configuration: ConfigurationReplica, clock: Clock, logger: Logger) {
-		this.#participants = Array.from({length: partitionCount}, (_, part) => new LeaseParticipant(`limits-${part + 1}`, membership, configuration, clock, logger));
+		this.#participants = Array.from({length: partitionCount}, (_, index) => new LeaseParticipant(`limits-${index + 1}`, membership, configuration, clock, logger));
 	}
 
 	get participants(): readonly LeaseParticipant[] {
@@ -20,7 +20,7 @@
 	}
 
 	getParticipant(lease: string): LeaseParticipant | undefined {
-		return this.#participants.find(keeper => keeper.lease === lease);
+		return this.#participants.find(participant => participant.lease === lease);
 	}
 
 	/** Returns the lease whose holder allocates the limits of an account. */
@@ -29,18 +29,18 @@
 		return this.#participants[hash % partitionCount]!.lease;
 	}
 
-	/** Returns the leases that this VM holds; whoever else holds one says so itself. */
+	/** Returns the leases that this VM holds; other holders report their own. */
 	getHeldLeases(now: number): Array<{lease: string; holder: string; term: number}> {
-		return this.#participants.filter(keeper => keeper.isHeld(now)).map(keeper => ({lease: keeper.lease, holder: keeper.getHolder(now), term: keeper.term}));
+		return this.#participants.filter(participant => participant.isHeld(now)).map(participant => ({lease: participant.lease, holder: participant.getHolder(now), term: participant.term}));
 	}
 
-	/** Says whether every lease is known to have a holder. */
+	/** Returns whether every lease has a known holder. */
 	isEveryLeaseHeld(now: number): boolean {
-		return this.#participants.every(keeper => keeper.findHolderVm(now) !== undefined);
+		return this.#participants.every(participant => participant.findHolderVm(now) !== undefined);
 	}
 
-	/** Renews the leases held and seeks the vacant ones. */
+	/** Renews the held leases and tries to acquire the vacant ones. */
 	async renewOrSeek(): Promise<void> {
-		await Promise.all(this.#participants.map(async keeper => keeper.renewOrSeek()));
+		await Promise.all(this.#participants.map(async participant => participant.renewOrSeek()));
 	}
 }
--- a/packages/proxy/src/limits/rank-vms.ts
+++ b/packages/proxy/src/limits/rank-vms.ts
@@ -1,8 +1,8 @@
 import {createHash} from 'node:crypto';
 
 /**
- * Orders VMs by rendezvous hashing: each subject has an order of its own, which changes little when VMs come and go.
- * @param key - What the VMs are ranked for.
+ * Orders VMs by rendezvous hashing: each key has its own order, which changes little when VMs are added or removed.
+ * @param key - Client account or lease that the VMs are ranked for.
  * @param vms - Names of the VMs.
  */
 export function rankVms(key: string, vms: readonly string[]): string[] {
--- a/packages/proxy/src/limits/share-codec.ts
+++ b/packages/proxy/src/limits/share-codec.ts
@@ -4,7 +4,7 @@
 	type DemandReport as WireReport, type DemandReportSchema, type ShareGrant as WireGrant, type ShareGrantSchema,
 } from '@chicorysaddle/protocol';
 
-/** Reads a report off the wire. */
+/** Parses a demand report from its message. */
 export function parseReport(report: WireReport): DemandReport {
 	return {
 		vm: report.vm,
@@ -22,12 +22,12 @@
 	};
 }
 
-/** Writes a report for the wire. */
+/** Formats a demand report as its message. */
 export function formatReport(report: DemandReport): MessageInitShape<typeof DemandReportSchema> {
 	return {...report, appliedSequence: BigInt(report.appliedSequence), accounts: [...report.accounts]};
 }
 
-/** Reads a grant off the wire, undefined when there is none. */
+/** Parses a grant from its message, undefined when nothing is granted. */
 export function parseGrant(grant: WireGrant): ShareGrant | undefined {
 	return grant.granted
 		? {
@@ -40,7 +40,7 @@
 		: undefined;
 }
 
-/** Writes a grant for the wire. */
+/** Formats a grant as its message. */
 export function formatGrant(grant: ShareGrant | undefined): MessageInitShape<typeof ShareGrantSchema> {
 	return grant === undefined
 		? {granted: false}
