--- a/packages/proxy/src/configuration/change-codec.ts
+++ b/packages/proxy/src/configuration/change-codec.ts
@@ -2,7 +2,7 @@
 import {type ConfigurationChange} from '@chicorysaddle/model';
 import {type ConfigurationChange as WireChange, ConfigurationChangeSchema} from '@chicorysaddle/protocol';
 
-/** Reads a change off the wire. */
+/** Parses a configuration change from its message. */
 export function parseChange(change: WireChange): ConfigurationChange {
 	return {
 		version: Number(change.version), writeId: change.writeId, author: change.author, summary: change.summary,
@@ -10,7 +10,7 @@
 	};
 }
 
-/** Writes a change for the wire. */
+/** Formats a configuration change as its message. */
 export function formatChange(change: ConfigurationChange): WireChange {
 	return create(ConfigurationChangeSchema, {
 		...change,
--- a/packages/proxy/src/configuration/configuration-replica.ts
+++ b/packages/proxy/src/configuration/configuration-replica.ts
@@ -9,19 +9,19 @@
 import {type Membership, type Peer} from '../membership/index.js';
 import {formatChange, parseChange} from './change-codec.js';
 
-/** Changes kept for peers that are behind. */
+/** Maximum number of changes kept for peers with an older version. */
 const maxRetainedChanges = 256;
 const pushTimeoutMs = 700;
 
-/** Outcome of an operator's change. */
+/** Outcome of a requested change. */
 export type ApplyResult =
-	/** Written and known to a majority of the voters. */
+	/** Written, and confirmed by a majority of the voters. */
 	| {readonly kind: 'accepted'; readonly version: number}
-	/** Written, but a majority of the voters has not confirmed it. */
+	/** Written, but not confirmed by a majority of the voters. */
 	| {readonly kind: 'committed'; readonly version: number}
 	| {readonly kind: 'conflict'; readonly version: number; readonly change?: ConfigurationChange | undefined};
 
-/** A change that an operator asks for. */
+/** Change requested by an operator, or by a VM for the voters. */
 export type ChangeRequest = {
 	readonly expectedVersion: number;
 	readonly author: string;
@@ -30,7 +30,7 @@
 	readonly rows: readonly StoredRow[];
 };
 
-/** Parts that the keeper works with. */
+/** Dependencies of a `ConfigurationReplica`. */
 export type ConfigurationReplicaDependencies = {
 	readonly log: ConfigurationLog;
 	readonly freshness: FreshnessTracker;
@@ -39,7 +39,7 @@
 	readonly logger: Logger;
 };
 
-/** Keeps the configuration of this VM at the newest version that it hears of; it never goes back. */
+/** Keeps this VM's copy of the configuration at the newest known version, which never decreases. */
 export class ConfigurationReplica {
 	readonly current = new Configuration();
 	readonly #changes = new Map<number, ConfigurationChange>();
@@ -74,7 +74,7 @@
 		return Right(version);
 	}
 
-	/** Catches up with a peer. */
+	/** Catches up with a peer's version; rejects if the peer does not answer. */
 	async pullFromPeer(peer: Peer): Promise<void> {
 		await this.#runExclusively(async () => {
 			const response = await peer.client.pullConfiguration({fromVersion: BigInt(this.version)}, {timeoutMs: pushTimeoutMs * 4});
@@ -86,7 +86,7 @@
 		});
 	}
 
-	/** Returns what a peer at a version lacks. */
+	/** Returns the changes after a version, or a snapshot where this VM no longer holds all of them. */
 	createPullResponse(fromVersion: number): Partial<Pick<PullConfigurationResponse, 'changes' | 'snapshot' | 'snapshotVersion'>> {
 		const changes: ConfigurationChange[] = [];
 		for (let version = fromVersion + 1; version <= this.version; version += 1) {
@@ -115,20 +115,20 @@
 		return [...this.#changes.values()].toSorted((a, b) => b.version - a.version).slice(0, limit);
 	}
 
-	/** Writes an operator's change, then tells every peer. */
+	/** Writes a change to the store, then pushes it to every peer. */
 	async applyChangeRequest(request: ChangeRequest): Promise<Either<Refusal, ApplyResult>> {
 		const head = await this.pollStore();
 		if (head.isLeft()) {
 			return head;
 		}
 
-		const known = this.#changes.get(request.expectedVersion + 1);
-		if (known?.writeId === request.writeId) {
-			return Right(await this.#replicateChange(known));
+		const nextChange = this.#changes.get(request.expectedVersion + 1);
+		if (nextChange?.writeId === request.writeId) {
+			return Right(await this.#replicateChange(nextChange));
 		}
 
 		if (this.version !== request.expectedVersion) {
-			return Right({kind: 'conflict', version: this.version, change: known});
+			return Right({kind: 'conflict', version: this.version, change: nextChange});
 		}
 
 		const checked = this.current.checkRows(request.rows).mapLeft(errors => refusals.invalid(errors.join('\n')));
@@ -136,7 +136,7 @@
 		return allowed.isLeft() ? (allowed) : this.#writeChange(request);
 	}
 
-	/** Asks every peer to take a change, and returns whether a majority of the voters knows it. */
+	/** Pushes changes to every peer; returns whether a majority of the voters confirms that it has the version. */
 	async confirmVersion(changes: readonly ConfigurationChange[], version: number): Promise<boolean> {
 		const voters = this.current.getVoterNames();
 		const {membership, freshness} = this.dependencies;
@@ -193,7 +193,7 @@
 		}
 	}
 
-	/** Voters change one at a time, each time only after a majority knows the change before. */
+	/** Allows one voter change at a time, and only after a majority has confirmed the previous change. */
 	async #checkVoterChange(rows: readonly ParsedRow[]): Promise<Either<Refusal, readonly ParsedRow[]>> {
 		const voterRows = rows.filter(row => row.kind === 'voter');
 		const isFirst = this.current.getVoterNames().length === 0;
@@ -256,7 +256,7 @@
 		}
 	}
 
-	/** Runs one catch-up at a time. */
+	/** Runs one catch-up at a time, in the order of the calls. */
 	async #runExclusively<T>(task: () => Promise<T>): Promise<T> {
 		const previous = this.#lastCatchUp;
 		const run = (async () => {
--- a/packages/proxy/src/membership/membership.ts
+++ b/packages/proxy/src/membership/membership.ts
@@ -2,14 +2,14 @@
 import {type Clock} from '../observability/index.js';
 import {Peer, type PeerOptions} from './peer.js';
 
-/** A peer that is neither listed nor heard is dropped after this time, in milliseconds. */
+/** Time after which a peer that is neither listed nor in contact is removed, in milliseconds. */
 const peerExpiryMs = 10_000;
-/** A peer counts as live when it was heard within this time, in milliseconds. */
+/** Time since its last answered request after which a peer no longer counts as live, in milliseconds. */
 const livenessTimeoutMs = 3000;
-/** A peer is settled when it was heard for this time without a restart, in milliseconds. */
+/** Time without a restart after which a live peer counts as stable, in milliseconds. */
 const minStableMs = 3000;
 
-/** This VM as others see it. */
+/** Identity of this VM, as its peers see it. */
 export type LocalVm = {
 	readonly name: string;
 	readonly incarnation: string;
@@ -18,7 +18,7 @@
 	readonly address: string;
 };
 
-/** The proxies that this one knows, from the platform's lagging list and from the peers themselves. */
+/** The VMs that this proxy knows, from the platform's VM list, which lags, and from the peers themselves. */
 export class Membership {
 	readonly #peers = new Map<string, Peer>();
 	#listedVms = new Map<string, ListedVm>();
@@ -44,27 +44,27 @@
 		return this.#listedVms.has(name);
 	}
 
-	/** Returns every VM that may be using endpoints, this one included. */
+	/** Returns every VM that may use endpoints, this one included. */
 	getVms(): Array<{name: string; zone: string}> {
 		return [{name: this.self.name, zone: this.self.zone}, ...this.peers.map(peer => ({name: peer.name, zone: peer.zone}))];
 	}
 
 	/**
-	 * Returns how many VMs share the connections of an endpoint, infinitely many while this one is not listed,
+	 * Returns how many VMs share the connections of an endpoint, infinity while this VM is not listed,
 	 * since the others do not count it yet.
 	 */
 	countEndpointSharers(voters: readonly string[]): number {
 		return this.isListed(this.self.name) ? Math.max(this.getVms().length, voters.length) : Number.POSITIVE_INFINITY;
 	}
 
-	/** Returns the VMs that answer and take work, this one included, in order of name. */
+	/** Returns the names of the live VMs that are not draining, this one included, sorted. */
 	getLiveVms(): string[] {
 		const now = this.clock.getNow();
 		const peers = this.peers.filter(peer => this.isLive(peer, now) && !peer.isDraining);
 		return [...peers.map(peer => peer.name), ...this.isDraining ? [] : [this.self.name]].toSorted();
 	}
 
-	/** Says whether a peer has been heard for some time without a restart. */
+	/** Returns whether a peer is live and has run for some time without a restart. */
 	isStable(name: string): boolean {
 		const peer = this.#peers.get(name);
 		const now = this.clock.getNow();
@@ -75,7 +75,7 @@
 		return now - peer.answeredRequestSentAt <= livenessTimeoutMs;
 	}
 
-	/** Reads the platform's list. */
+	/** Reads the platform's VM list; if that fails, the previous list stays in force. */
 	async refreshVmList(): Promise<void> {
 		const listed = await this.vmList.listVms();
 		listed.ifRight(vms => {
@@ -83,15 +83,15 @@
 		});
 	}
 
-	/** Takes in that a VM exists. */
+	/** Records a VM that sent a request; returns its peer, undefined for this VM and for one without an address. */
 	addOrUpdatePeer(name: string, address: string, zone: string): Peer | undefined {
 		if (name === this.self.name || address === '') {
 			return undefined;
 		}
 
-		const known = this.#peers.get(name);
-		// A listed address goes before the one that a peer gives of itself.
-		const peer = known !== undefined && (known.address === address || this.#listedVms.has(name)) ? known : this.#replacePeer(name, address, zone);
+		const existing = this.#peers.get(name);
+		// A listed address takes precedence over the one in the peer's request.
+		const peer = existing !== undefined && (existing.address === address || this.#listedVms.has(name)) ? existing : this.#replacePeer(name, address, zone);
 		peer.lastSeenAt = this.clock.getNow();
 		return peer;
 	}
@@ -110,8 +110,8 @@
 				continue;
 			}
 
-			const known = this.#peers.get(vm.name);
-			const peer = known?.address === vm.address ? known : this.#replacePeer(vm.name, vm.address, vm.zone);
+			const existing = this.#peers.get(vm.name);
+			const peer = existing?.address === vm.address ? existing : this.#replacePeer(vm.name, vm.address, vm.zone);
 			peer.isLeaving = vm.state === 'leaving';
 			peer.lastSeenAt = now;
 		}
--- a/packages/proxy/src/membership/peer-state-exchange.ts
+++ b/packages/proxy/src/membership/peer-state-exchange.ts
@@ -8,10 +8,10 @@
 import {type Membership} from './membership.js';
 import {type Peer} from './peer.js';
 
-/** Longest wait for an urgent answer, in milliseconds. */
+/** Minimum interval between urgent polls of the same peer, in milliseconds. */
 const urgentPollIntervalMs = 150;
 
-/** What the exchange works on. */
+/** Dependencies of a `PeerStateExchange`. */
 export type PeerStateExchangeDependencies = {
 	readonly membership: Membership;
 	readonly configuration: ConfigurationReplica;
@@ -22,18 +22,17 @@
 	readonly timeoutMs: number;
 };
 
-/** Asks peers, again and again, what they know. */
+/** Polls the peers for their state, and answers their polls. */
 export class PeerStateExchange {
 	readonly #urgentPollSentAt = new Map<string, number>();
 
 	constructor(private readonly dependencies: PeerStateExchangeDependencies) {}
 
-	/** Asks every peer. */
 	async pollPeers(): Promise<void> {
 		await Promise.all(this.dependencies.membership.peers.map(async peer => this.pollPeer(peer)));
 	}
 
-	/** Asks the other watchers of groups whose primary seems to fail. */
+	/** Polls the other watchers of each group whose primary is suspected to have failed. */
 	pollWatchersOfSuspectedGroups(): void {
 		const now = this.dependencies.clock.getNow();
 		for (const group of this.dependencies.groups.getGroups()) {
@@ -51,7 +50,7 @@
 		}
 	}
 
-	/** Asks one peer and takes in its answer, after catching up with its configuration. */
+	/** Polls one peer and applies its answer; its freshness counts only once this VM has caught up with its configuration. */
 	async pollPeer(peer: Peer): Promise<void> {
 		const {membership, configuration, clock} = this.dependencies;
 		const sentAt = clock.getNow();
@@ -66,11 +65,11 @@
 			}, {timeoutMs: this.dependencies.timeoutMs});
 			await this.#applyResponse(peer, response, sentAt);
 		} catch {
-			// A peer that does not answer is simply not heard.
+			// The peer stops counting as live when no later poll succeeds.
 		}
 	}
 
-	/** Answers a peer's question. */
+	/** Answers a peer's poll with the state of this VM. */
 	handleRequest(request: ExchangeRequest): MessageInitShape<typeof ExchangeResponseSchema> {
 		const {
 			membership, configuration, freshness, groups, leases, clock,
--- a/packages/proxy/src/membership/peer.ts
+++ b/packages/proxy/src/membership/peer.ts
@@ -3,7 +3,7 @@
 import {createHttp2SessionOptions} from '@chicorysaddle/store';
 import {PeerService} from '@chicorysaddle/protocol';
 
-/** Header in which proxies show one another their secret. */
+/** Header that carries the shared secret of the proxies. */
 export const peerSecretHeader = 'x-peer-secret';
 
 /** Options of connections to peers. */
@@ -12,22 +12,22 @@
 	readonly sourceAddress?: string | undefined;
 };
 
-/** Another proxy, as this one knows it. */
+/** Client of another VM's proxy, with the state that it last reported. */
 export class Peer {
 	readonly client: Client<typeof PeerService>;
 	incarnation = '';
-	/** Time since when this incarnation is known. */
+	/** Time since which this incarnation is known. */
 	incarnationSince = Number.POSITIVE_INFINITY;
 	configurationVersion = 0;
 	isSynchronized = false;
 	isDraining = false;
 	/** Whether the platform lists it as leaving. */
 	isLeaving = false;
-	/** Who holds each lease, as it knows. */
+	/** Holder and term of each lease that it reports to hold. */
 	leases: ReadonlyMap<string, {readonly holder: string; readonly term: number}> = new Map();
-	/** Time at which the last question that it answered was sent. */
+	/** Time at which the latest request that it answered was sent. */
 	answeredRequestSentAt = Number.NEGATIVE_INFINITY;
-	/** Time at which it was last listed, or last asked this VM something. */
+	/** Time at which it was last listed or last sent a request to this VM. */
 	lastSeenAt = Number.NEGATIVE_INFINITY;
 	readonly #sessions: Http2SessionManager;
 
@@ -44,7 +44,6 @@
 		}));
 	}
 
-	/** Ends its connection. */
 	close(): void {
 		this.#sessions.abort();
 	}
--- a/packages/proxy/src/membership/voter-reconciler.ts
+++ b/packages/proxy/src/membership/voter-reconciler.ts
@@ -3,19 +3,19 @@
 import {type Clock} from '../observability/index.js';
 import {type Membership} from './membership.js';
 
-/** A voter that is neither listed nor heard for this long is removed, in milliseconds. */
+/** Time after which a voter that is neither listed nor live is removed, in milliseconds. */
 const removalDelayMs = 60_000;
 
 /**
- * Keeps the voters in line with the VMs that the platform lists.
- * One VM acts at a time, the first by name; a race is settled by the version of the configuration.
+ * Reconciles the voters with the VMs that the platform lists.
+ * One VM acts at a time, the first by name. Of concurrent changes one succeeds, by the expected version of the configuration.
  */
 export class VoterReconciler {
 	readonly #missingSince = new Map<string, number>();
 
 	constructor(private readonly configuration: ConfigurationReplica, private readonly membership: Membership, private readonly clock: Clock) {}
 
-	/** Adds this VM to the voters, or removes one that is gone. */
+	/** Adds this VM to the voters, or removes a voter that has been missing for too long. */
 	async reconcile(): Promise<void> {
 		const {name} = this.membership.self;
 		const voters = this.configuration.current.getVoterNames();
@@ -24,12 +24,12 @@
 			return;
 		}
 
-		const [joining] = [name, ...this.membership.peers.map(peer => peer.name)].filter(vm => this.membership.isListed(vm) && !voters.includes(vm)).toSorted();
-		const gone = voters.find(voter => this.clock.getNow() - (this.#missingSince.get(voter) ?? this.clock.getNow()) > removalDelayMs);
-		if (joining === name) {
+		const [joiningVm] = [name, ...this.membership.peers.map(peer => peer.name)].filter(vm => this.membership.isListed(vm) && !voters.includes(vm)).toSorted();
+		const missingVoter = voters.find(voter => this.clock.getNow() - (this.#missingSince.get(voter) ?? this.clock.getNow()) > removalDelayMs);
+		if (joiningVm === name) {
 			await this.#applyRow(formatRow('voter', name, {}), `voter ${name} joins`);
-		} else if (gone !== undefined && this.membership.getLiveVms()[0] === name) {
-			await this.#applyRow(formatRow('voter', gone, undefined), `voter ${gone} is gone`);
+		} else if (missingVoter !== undefined && this.membership.getLiveVms()[0] === name) {
+			await this.#applyRow(formatRow('voter', missingVoter, undefined), `voter ${missingVoter} is gone`);
 		}
 	}
 
@@ -37,8 +37,8 @@
 		const now = this.clock.getNow();
 		for (const voter of voters) {
 			const peer = this.membership.getPeer(voter);
-			const isKnown = voter === this.membership.self.name || this.membership.isListed(voter) || (peer !== undefined && this.membership.isLive(peer, now));
-			if (isKnown) {
+			const isPresent = voter === this.membership.self.name || this.membership.isListed(voter) || (peer !== undefined && this.membership.isLive(peer, now));
+			if (isPresent) {
 				this.#missingSince.delete(voter);
 			} else if (!this.#missingSince.has(voter)) {
 				this.#missingSince.set(voter, now);
