--- a/packages/proxy/src/limits/account-limiter.ts
+++ b/packages/proxy/src/limits/account-limiter.ts
@@ -180,7 +180,7 @@
 	#createAllocator(now: number): ShareAllocator {
 		const options = this.dependencies.policy === 'owner'
 			? {
-				...defaultAllocatorOptions, localRateShare: 0, coveredDemand: 0, holdMs: 0,
+				...defaultAllocatorOptions, maxLocalRateFraction: 0, coveredDemandFraction: 0, prefetchMs: 0,
 			}
 			: defaultAllocatorOptions;
 		return new ShareAllocator(now, account => this.#getLimits(account), options);
