--- a/packages/proxy/src/groups/dispatcher.ts
+++ b/packages/proxy/src/groups/dispatcher.ts
@@ -6,35 +6,42 @@
 import {type Clock} from '../observability/index.js';
 import {type EndpointConnectionPort, type EndpointConnectionPool} from '../endpoints/index.js';
 
-/** A connection to an instance, held for one request. */
+/** A connection to an instance, held for one request or transaction. */
 export type Placement = {
 	readonly instance: InstanceView;
 	readonly connection: EndpointConnectionPort;
-	/** Time that the instance may take to reach the wanted position, in milliseconds. */
+	/** Time that the instance may take to reach the requested position, in milliseconds. */
 	readonly waitMs: number;
-	/** Gives the connection back; one that may hold state of the request is closed. */
+	/**
+	 * Returns the connection to the pool.
+	 * @param isClean - Whether the connection holds no state of the request; otherwise it is closed.
+	 */
 	release(isClean: boolean): void;
 };
 
-/** What a request asks of the dispatcher. */
+/** A request for a connection. */
 export type PlacementRequest = {
 	readonly account: string;
 	readonly priority: Priority;
+	/** Weight of the account in the queue. */
 	readonly weight: number;
+	/** Time until which the request may wait, in monotonic milliseconds. */
 	readonly deadline: number;
-	/** Chooses an instance by what is known now. */
+	/** Chooses an instance from the current state of the group. */
 	chooseInstance(now: number): ReadChoice;
 };
 
 type Waiter = {
 	readonly request: PlacementRequest;
-	readonly resolve: (slot: Either<Refusal, Placement>) => void;
+	readonly resolve: (placement: Either<Refusal, Placement>) => void;
+	/** Whether an instance could have served the request at the last attempt to place it. */
 	hadUsableInstance: boolean;
 };
 
+/** Interval at which the queue is checked for passed deadlines, in milliseconds. */
 const sweepIntervalMs = 20;
 
-/** Hands the connections of one group to the requests that wait for them. */
+/** Assigns the connections of one group to waiting requests. */
 export class Dispatcher {
 	readonly #queue: FairQueue<Waiter>;
 	#sweepTimer: NodeJS.Timeout | undefined;
@@ -43,18 +50,18 @@
 		this.#queue = new FairQueue(policy);
 	}
 
-	/** Number of requests that wait. */
+	/** Number of queued requests. */
 	get waitingCount(): number {
 		return this.#queue.size;
 	}
 
-	/** Waits for a connection to an instance that can serve a request. */
+	/** Waits for a connection to an instance that can serve a request; refuses at once if the estimated wait exceeds the deadline. */
 	async acquirePlacement(request: PlacementRequest): Promise<Either<Refusal, Placement>> {
 		const now = this.clock.getNow();
 		if (this.#queue.size === 0) {
-			const slot = this.#tryPlace(request, now);
-			if (slot !== undefined) {
-				return Right(slot);
+			const placement = this.#tryPlace(request, now);
+			if (placement !== undefined) {
+				return Right(placement);
 			}
 		}
 
@@ -75,17 +82,17 @@
 		});
 	}
 
-	/** Places what can be placed and refuses what has run out of time. */
+	/** Assigns free connections to queued requests and refuses those whose deadline has passed. */
 	placeWaiting(): void {
 		const now = this.clock.getNow();
 		for (const entry of this.#queue.removeExpired(now)) {
 			entry.value.resolve(Left(entry.value.hadUsableInstance ? refusals.deadlineNotRun() : refusals.noPrimary(this.group.name)));
 		}
 
-		let slot: Placement | undefined;
-		const canPlace = (waiting: Waiter) => {
-			slot = this.#tryPlace(waiting.request, now, waiting);
-			return slot !== undefined;
+		let placement: Placement | undefined;
+		const canPlace = (waiter: Waiter) => {
+			placement = this.#tryPlace(waiter.request, now, waiter);
+			return placement !== undefined;
 		};
 
 		for (;;) {
@@ -94,7 +101,7 @@
 				break;
 			}
 
-			entry.value.resolve(Right(slot!));
+			entry.value.resolve(Right(placement!));
 		}
 
 		this.#scheduleSweep();
@@ -109,10 +116,10 @@
 		}
 	}
 
-	#tryPlace(request: PlacementRequest, now: number, waiting?: Waiter): Placement | undefined {
+	#tryPlace(request: PlacementRequest, now: number, waiter?: Waiter): Placement | undefined {
 		const choice = request.chooseInstance(now);
-		if (waiting !== undefined) {
-			waiting.hadUsableInstance = choice.kind !== 'none';
+		if (waiter !== undefined) {
+			waiter.hadUsableInstance = choice.kind !== 'none';
 		}
 
 		if (choice.kind !== 'send') {
@@ -136,18 +143,21 @@
 		};
 	}
 
-	/** Expected wait: the own account's requests first in its turn, or the whole queue, whichever is less. */
+	/**
+	 * Estimates the wait from the mean latency and the number of requests ahead.
+	 * These are one of each other account for every queued request of this account, as in fair queueing, or the whole queue if that is less.
+	 */
 	#estimateWaitMs(request: PlacementRequest): number {
-		const usable = this.group.instances.filter(instance => instance.isReachable);
-		const room = usable.reduce((sum, instance) => sum + instance.limit, 0);
-		if (room === 0 || this.#queue.size === 0) {
+		const reachable = this.group.instances.filter(instance => instance.isReachable);
+		const concurrency = reachable.reduce((sum, instance) => sum + instance.limit, 0);
+		if (concurrency === 0 || this.#queue.size === 0) {
 			return 0;
 		}
 
-		const latencyMs = usable.reduce((sum, instance) => sum + instance.latencyMs, 0) / usable.length;
-		const own = this.#queue.getAccountSize(request.account);
-		const accounts = Math.max(1, this.#queue.size - own);
-		const ahead = Math.min(this.#queue.size, (own * accounts) + 1);
-		return (ahead * latencyMs) / room;
+		const latencyMs = reachable.reduce((sum, instance) => sum + instance.latencyMs, 0) / reachable.length;
+		const ownCount = this.#queue.getAccountSize(request.account);
+		const maxOtherAccounts = Math.max(1, this.#queue.size - ownCount);
+		const requestsAhead = Math.min(this.#queue.size, (ownCount * maxOtherAccounts) + 1);
+		return (requestsAhead * latencyMs) / concurrency;
 	}
 }
--- a/packages/proxy/src/groups/group-registry.ts
+++ b/packages/proxy/src/groups/group-registry.ts
@@ -6,17 +6,18 @@
 import {Group} from './group.js';
 import {type Promoter} from './promoter.js';
 
-/** Number of VMs that watch one group closely. */
+/** Number of VMs that monitor one group. */
 export const monitorsPerGroup = 3;
 
-/** Time between the attempts of watchers of neighbouring ranks, in milliseconds. */
+/** Delay between the promotion attempts of monitors of consecutive ranks, in milliseconds. */
 const promotionStaggerMs = 200;
 
-/** A VM that can watch groups. */
+/** A VM that can monitor groups. */
 export type MonitorCandidate = {readonly name: string; readonly zone: string};
 
 /**
- * Chooses the VMs that watch a group: by rendezvous hashing, from different availability zones first.
+ * Chooses the VMs that monitor a group by rendezvous hashing, preferring different availability zones.
+ * The order of the result is the rank in which they attempt a promotion.
  * @param group - Name of the group.
  * @param vms - VMs to choose from.
  */
@@ -25,12 +26,12 @@
 		.map(vm => ({vm, score: createHash('sha256').update(`${vm.name}/${group}`).digest('hex')}))
 		.toSorted((a, b) => (a.score < b.score ? -1 : 1))
 		.map(({vm}) => vm);
-	const firstOfZone = ranked.filter((vm, index) => ranked.findIndex(other => other.zone === vm.zone) === index);
-	const others = ranked.filter(vm => !firstOfZone.includes(vm));
-	return [...firstOfZone, ...others].slice(0, monitorsPerGroup).map(vm => vm.name);
+	const firstPerZone = ranked.filter((vm, index) => ranked.findIndex(other => other.zone === vm.zone) === index);
+	const others = ranked.filter(vm => !firstPerZone.includes(vm));
+	return [...firstPerZone, ...others].slice(0, monitorsPerGroup).map(vm => vm.name);
 }
 
-/** Every database group of the configuration. */
+/** The database groups of the current configuration. */
 export class GroupRegistry {
 	readonly #groups = new Map<string, Group>();
 	readonly #monitors = new Map<string, string[]>();
@@ -47,20 +48,20 @@
 		return [...this.#groups.values()];
 	}
 
-	/** Returns the VMs that watch a group. */
+	/** Returns the VMs that monitor a group, by rank. */
 	getMonitors(group: string): readonly string[] {
 		return this.#monitors.get(group) ?? [];
 	}
 
-	/** Whether every instance has been probed. */
+	/** Whether every instance of every group has been probed at least once. */
 	get areAllInstancesProbed(): boolean {
 		return this.getGroups().every(group => group.areAllInstancesProbed);
 	}
 
 	/**
-	 * Brings the groups in line with the configuration and the VMs known.
-	 * @param configuration - Configuration in force.
-	 * @param vms - VMs that can watch groups.
+	 * Adds, updates and removes groups to match the configuration.
+	 * @param configuration - Current configuration.
+	 * @param vms - VMs that can monitor groups.
 	 * @param vmCount - Number of VMs that share the connections of an instance.
 	 */
 	applyConfiguration(configuration: Configuration, vms: readonly MonitorCandidate[], vmCount: number): void {
@@ -68,9 +69,9 @@
 			const group = this.#groups.get(name) ?? new Group(name, this.connector, this.clock, this.queuePolicy);
 			this.#groups.set(name, group);
 			group.setEndpoints(configuration.getEndpoints(name), vmCount);
-			const watchers = chooseMonitors(name, vms);
-			this.#monitors.set(name, watchers);
-			group.isMonitored = watchers.includes(this.vm);
+			const monitors = chooseMonitors(name, vms);
+			this.#monitors.set(name, monitors);
+			group.isMonitored = monitors.includes(this.vm);
 		}
 
 		for (const [name, group] of this.#groups) {
@@ -81,7 +82,7 @@
 		}
 	}
 
-	/** Probes what is due and promotes where the watchers agree. */
+	/** Probes the instances that are due and starts a promotion where the monitors agree that the primary has failed. */
 	checkGroups(): void {
 		for (const group of this.#groups.values()) {
 			group.checkInstances();
@@ -98,15 +99,15 @@
 	async #promoteIfDue(group: Group): Promise<void> {
 		const {name} = group.state;
 		const now = this.clock.getNow();
-		const watchers = this.getMonitors(name);
-		if (!group.isMonitored || this.#promotingGroups.has(name) || !group.detector.isPromotionDue(this.vm, watchers, now)) {
+		const monitors = this.getMonitors(name);
+		if (!group.isMonitored || this.#promotingGroups.has(name) || !group.detector.isPromotionDue(this.vm, monitors, now)) {
 			this.#promotionDueSince.delete(name);
 			return;
 		}
 
 		const dueSince = this.#promotionDueSince.get(name) ?? now;
 		this.#promotionDueSince.set(name, dueSince);
-		if (now < dueSince + (watchers.indexOf(this.vm) * promotionStaggerMs)) {
+		if (now < dueSince + (monitors.indexOf(this.vm) * promotionStaggerMs)) {
 			return;
 		}
 
--- a/packages/proxy/src/groups/group.ts
+++ b/packages/proxy/src/groups/group.ts
@@ -11,27 +11,28 @@
 import {Dispatcher} from './dispatcher.js';
 import {WriteConfirmer} from './write-confirmer.js';
 
+/** Timeout of a probe, in milliseconds. */
 const probeTimeoutMs = 500;
 
-/** Pauses between probes of an instance, in milliseconds. */
+/** Intervals between probes of an instance, in milliseconds. */
 const probeIntervalsMs = {
-	/** Of the primary, by a VM that watches the group. */
+	/** Of the primary, by a VM that monitors the group. */
 	monitoredPrimary: 300,
-	/** Of a replica, by a VM that watches the group. */
+	/** Of a replica, by a VM that monitors the group. */
 	monitoredReplica: 1000,
 	/** By any other VM. */
 	unmonitored: 2000,
-	/** Of an instance that does not answer, or whose group is in doubt. */
+	/** Of an unreachable instance, or of any instance while the primary is unknown or suspected to have failed. */
 	suspected: 300,
 } as const;
 
-/** One database group as this proxy sees and uses it. */
+/** One database group: its state, failure detection and connections as seen by this proxy. */
 export class Group {
 	readonly state: GroupState;
 	readonly detector: FailureDetector;
 	readonly confirmer: WriteConfirmer;
 	readonly dispatcher: Dispatcher;
-	/** Whether this VM is one of those that watch the group closely. */
+	/** Whether this VM is one of those that monitor the group. */
 	isMonitored = false;
 	readonly #pools = new Map<string, EndpointConnectionPool>();
 	readonly #lastResponseAt = new Map<string, number>();
@@ -50,12 +51,12 @@
 	}
 
 	/**
-	 * Brings the instances in line with the configuration.
+	 * Adds, updates and removes instances to match the configuration.
 	 * @param endpoints - Endpoints of the group.
-	 * @param vmCount - Number of VMs that share their connections.
+	 * @param vmCount - Number of VMs that share the connections of an instance.
 	 */
 	setEndpoints(endpoints: readonly NamedEndpoint[], vmCount: number): void {
-		for (const name of [...this.#pools.keys()].filter(known => !endpoints.some(endpoint => endpoint.name === known))) {
+		for (const name of [...this.#pools.keys()].filter(existing => !endpoints.some(endpoint => endpoint.name === existing))) {
 			this.#removeInstance(name);
 		}
 
@@ -66,37 +67,37 @@
 		this.dispatcher.placeWaiting();
 	}
 
-	/** Whether every instance has been probed. */
+	/** Whether every instance has been probed at least once. */
 	get areAllInstancesProbed(): boolean {
 		return this.state.instances.every(instance => this.#probedInstances.has(instance.name));
 	}
 
-	/** Takes in which instance leads which term. */
+	/** Records the primary of a term and, if it is new, re-evaluates pending writes and queued requests. */
 	observePrimary(term: number, name: string): void {
 		if (this.state.observePrimary(term, name)) {
 			this.#handlePrimaryChange();
 		}
 	}
 
-	/** Takes in that an instance has answered a request. */
+	/** Records that an instance responded to a request. */
 	observeResponse(instance: InstanceView): void {
 		instance.observeReachable();
 		this.#lastResponseAt.set(instance.name, this.clock.getNow());
 	}
 
-	/** Takes in that an instance could not be reached. */
+	/** Records that a request to an instance failed, and probes the instance at once. */
 	observeFailure(instance: InstanceView): void {
 		this.#lastResponseAt.delete(instance.name);
 		this.#lastProbeAt.delete(instance.name);
 		void this.probeInstance(instance);
 	}
 
-	/** Probes the instances that are due, and re-evaluates the primary. */
+	/** Probes the instances that are due and re-evaluates the health of the primary. */
 	checkInstances(): void {
 		const now = this.clock.getNow();
 		for (const instance of this.state.instances) {
-			const heardAt = Math.max(this.#lastResponseAt.get(instance.name) ?? Number.NEGATIVE_INFINITY, this.#lastProbeAt.get(instance.name) ?? Number.NEGATIVE_INFINITY);
-			if (now - heardAt >= this.#getProbeIntervalMs(instance, now)) {
+			const lastActivityAt = Math.max(this.#lastResponseAt.get(instance.name) ?? Number.NEGATIVE_INFINITY, this.#lastProbeAt.get(instance.name) ?? Number.NEGATIVE_INFINITY);
+			if (now - lastActivityAt >= this.#getProbeIntervalMs(instance, now)) {
 				void this.probeInstance(instance);
 			}
 		}
@@ -104,7 +105,7 @@
 		this.detector.observe(now);
 	}
 
-	/** Asks an instance for its status. */
+	/** Requests the status of an instance and updates the state of the group from it. */
 	async probeInstance(instance: InstanceView): Promise<void> {
 		const control = this.#pools.get(instance.name)?.control;
 		const sentAt = this.clock.getNow();
@@ -115,8 +116,8 @@
 			Left() {
 				instance.observeUnreachable(sentAt);
 			},
-			Right: answer => {
-				instance.observeReport(parseInstanceStatus(answer), sentAt);
+			Right: response => {
+				instance.observeReport(parseInstanceStatus(response), sentAt);
 				this.#updatePrimary(instance);
 			},
 		});
@@ -155,17 +156,17 @@
 		return instance.name === this.state.primaryName ? probeIntervalsMs.monitoredPrimary : probeIntervalsMs.monitoredReplica;
 	}
 
-	#addOrUpdateInstance(endpoint: NamedEndpoint, vms: number): void {
+	#addOrUpdateInstance(endpoint: NamedEndpoint, vmCount: number): void {
 		const instance = this.state.addInstance(endpoint.name, endpoint.zone);
-		const known = this.#pools.get(endpoint.name);
-		if (known !== undefined && known.address !== endpoint.address) {
-			known.close();
+		const existing = this.#pools.get(endpoint.name);
+		if (existing !== undefined && existing.address !== endpoint.address) {
+			existing.close();
 		}
 
-		const pool = known?.address === endpoint.address ? known : new EndpointConnectionPool(endpoint.address, this.connector);
+		const pool = existing?.address === endpoint.address ? existing : new EndpointConnectionPool(endpoint.address, this.connector);
 		this.#pools.set(endpoint.name, pool);
 		instance.isLeaving = endpoint.state === 'leaving';
-		pool.setMaxConnections(getMaxConnectionsPerVm(endpoint.connections, vms));
+		pool.setMaxConnections(getMaxConnectionsPerVm(endpoint.connections, vmCount));
 		instance.limit = Math.min(pool.maxRequestConnections, endpoint.slots);
 		if (!instance.isLeaving) {
 			void pool.warmConnections(async connection => connection.probe(create(ProbeRequestSchema), {timeoutMs: probeTimeoutMs}));
--- a/packages/proxy/src/groups/promoter.ts
+++ b/packages/proxy/src/groups/promoter.ts
@@ -8,26 +8,29 @@
 import {type EndpointFailure, parsePosition} from '../endpoints/index.js';
 import {type Group} from './group.js';
 
+/** Timeout of calls to instances, in milliseconds. */
 const endpointTimeoutMs = 500;
+/** Timeout of calls to the platform's table, in milliseconds. */
 const tableTimeoutMs = 300;
+/** Time to wait for further responses after a majority has accepted a term, in milliseconds. */
 const lateResponseGraceMs = 50;
 const termClaimSchema = z.object({term: z.number(), promoter: z.string()});
 
-/** How the platform's table answered a claim of a term. */
+/** Result of claiming a term in the platform's table; 'no-answer' if it failed or timed out. */
 type TermClaimResult = 'claimed' | 'taken' | 'no-answer';
 
-/** Gives a group a new primary. */
+/** Promotes an instance of a group to primary. */
 export class Promoter {
 	/**
-	 * @param id - VM and incarnation of this process.
+	 * @param id - VM and incarnation of this process, which identify the promoter.
 	 * @param table - The platform's table.
 	 */
 	constructor(private readonly id: string, private readonly table: Table, private readonly clock: Clock, private readonly logger: Logger, private readonly metrics: Metrics) {}
 
 	/**
 	 * Makes one attempt to promote an instance.
-	 * The table settles which promoter takes the term; while it does not answer, a majority of the
-	 * instances does, since each accepts a term from one promoter only.
+	 * The table decides which promoter owns the term. If it does not answer, a majority of the
+	 * instances decides, since each of them accepts a term from one promoter only.
 	 */
 	async promoteGroup(group: Group): Promise<void> {
 		const term = 1 + Math.max(group.state.term, ...group.state.instances.map(instance => instance.term));
@@ -46,10 +49,10 @@
 	}
 
 	async #claimTerm(group: string, term: number): Promise<TermClaimResult> {
-		const limit = new Promise<TermClaimResult>(resolve => {
+		const timeout = new Promise<TermClaimResult>(resolve => {
 			setTimeout(resolve, tableTimeoutMs, 'no-answer');
 		});
-		return Promise.race([limit, this.#claimTermInTable(group, term)]);
+		return Promise.race([timeout, this.#claimTermInTable(group, term)]);
 	}
 
 	async #claimTermInTable(group: string, term: number): Promise<TermClaimResult> {
@@ -73,26 +76,26 @@
 		const names = group.state.instances.map(instance => instance.name);
 		const round = new PromotionRound(term, names, lateResponseGraceMs, group.state.primaryName);
 		return new Promise(resolve => {
-			const finish = (command: PromotionCommand) => {
+			const resolveUnlessWaiting = (command: PromotionCommand) => {
 				if (command.kind !== 'wait') {
 					resolve(command);
 				}
 			};
 
-			const sendings = names.map(async name => {
-				const answer = await this.#fenceInstance(group, name, term);
-				answer.ifRight(response => {
+			const fenceCalls = names.map(async name => {
+				const result = await this.#fenceInstance(group, name, term);
+				result.ifRight(response => {
 					const status = response.status!;
-					finish(round.observeAnswer({
+					resolveUnlessWaiting(round.observeAnswer({
 						instance: name, accepted: response.accepted, term: Number(status.term), position: parsePosition(status.position),
 					}, this.clock.getNow()));
 					setTimeout(() => {
-						finish(round.advance(this.clock.getNow()));
+						resolveUnlessWaiting(round.advance(this.clock.getNow()));
 					}, lateResponseGraceMs + 1);
 				});
 			});
-			void Promise.all(sendings).then(() => {
-				finish(round.advance(Number.POSITIVE_INFINITY));
+			void Promise.all(fenceCalls).then(() => {
+				resolveUnlessWaiting(round.advance(Number.POSITIVE_INFINITY));
 				resolve({kind: 'wait'});
 			});
 		});
@@ -101,14 +104,14 @@
 	async #fenceInstance(group: Group, name: string, term: number): Promise<Either<EndpointFailure, FenceResponse>> {
 		const control = group.getPool(name)?.control;
 		return control === undefined
-			? Left({stage: 'unsent', message: 'no connection'})
+			? Left({stage: 'unsent', message: 'no connection to the instance'})
 			: control.fence(create(FenceRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: endpointTimeoutMs});
 	}
 
 	async #promoteInstance(group: Group, name: string, term: number): Promise<void> {
 		const {control} = (group.getPool(name)!);
-		const answer = await control.promote(create(PromoteRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: endpointTimeoutMs});
-		const isAccepted = answer.map(response => response.accepted).orDefault(false);
+		const result = await control.promote(create(PromoteRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: endpointTimeoutMs});
+		const isAccepted = result.map(response => response.accepted).orDefault(false);
 		if (isAccepted) {
 			group.observePrimary(term, name);
 			this.metrics.addCount('promotions');
--- a/packages/proxy/src/groups/write-confirmer.ts
+++ b/packages/proxy/src/groups/write-confirmer.ts
@@ -5,43 +5,45 @@
 import {type Clock} from '../observability/index.js';
 import {type EndpointConnectionPort, formatPosition, parseInstanceStatus} from '../endpoints/index.js';
 
-/** Whether a write is held by a replica in the term it was written in. */
+/** Result of waiting for a replica to hold a write: 'unconfirmed' if a later term began first. */
 export type Confirmation = 'confirmed' | 'unconfirmed' | 'timed-out';
 
 type PendingWrite = {
 	readonly position: LogPosition;
-	/** Term in which the write was answered. */
+	/** Term in which the primary responded to the write. */
 	readonly term: number;
+	/** Time to stop waiting, in monotonic milliseconds. */
 	readonly deadline: number;
 	readonly resolve: (confirmation: Confirmation) => void;
 };
 
+/** Time that a replica may hold a probe until it reaches a position, in milliseconds. */
 const maxProbeWaitMs = 500;
 
-/** Waits until replicas hold the writes that a primary has answered. */
+/** Waits until replicas hold the writes that a primary has executed. */
 export class WriteConfirmer {
 	#pending: PendingWrite[] = [];
 	readonly #polledReplicas = new Set<string>();
 
 	/**
-	 * @param group - What is known of the group.
+	 * @param group - State of the group.
 	 * @param getControl - Returns the control connection of an instance.
-	 * @param clock - Monotonic time.
+	 * @param clock - Monotonic clock.
 	 */
 	constructor(private readonly group: GroupState, private readonly getControl: (instance: string) => EndpointConnectionPort | undefined, private readonly clock: Clock) {}
 
 	/**
-	 * Waits until a replica holds a write.
+	 * Waits until a replica holds a write, a later term begins or the deadline passes.
 	 * @param position - Position of the write.
-	 * @param term - Term in which the primary answered it.
-	 * @param deadline - Time to stop waiting.
+	 * @param term - Term in which the primary responded to it.
+	 * @param deadline - Time to stop waiting, in monotonic milliseconds.
 	 */
 	async waitForConfirmation(position: LogPosition, term: number, deadline: number): Promise<Confirmation> {
-		const known = this.#getConfirmation({
+		const confirmation = this.#getConfirmation({
 			position, term, deadline, resolve: () => undefined,
 		});
-		if (known !== undefined) {
-			return known;
+		if (confirmation !== undefined) {
+			return confirmation;
 		}
 
 		return new Promise(resolve => {
@@ -55,7 +57,7 @@
 		});
 	}
 
-	/** Re-examines the pending writes after news of the group. */
+	/** Re-evaluates the pending writes after a change in the state of the group. */
 	recheckPendingWrites(): void {
 		this.#resolvePending(write => this.#getConfirmation(write));
 	}
@@ -70,13 +72,13 @@
 	}
 
 	async #pollReplica(name: string): Promise<void> {
-		const failurePauseMs = 50;
+		const retryDelayMs = 50;
 		while (this.#pending.length > 0) {
-			const isAnswered = await this.#probeReplica(name);
+			const hasResponded = await this.#probeReplica(name);
 			this.recheckPendingWrites();
-			if (!isAnswered) {
+			if (!hasResponded) {
 				await new Promise(resolve => {
-					setTimeout(resolve, failurePauseMs);
+					setTimeout(resolve, retryDelayMs);
 				});
 			}
 		}
@@ -86,19 +88,19 @@
 
 	async #probeReplica(name: string): Promise<boolean> {
 		const control = this.getControl(name);
-		const view = this.group.getInstance(name);
-		const held = view?.position;
-		const missing = this.#pending.map(write => write.position).filter(position => held === undefined || !isAtLeast(held, position));
-		if (control === undefined || view === undefined) {
+		const instance = this.group.getInstance(name);
+		const heldPosition = instance?.position;
+		const missingPositions = this.#pending.map(write => write.position).filter(position => heldPosition === undefined || !isAtLeast(heldPosition, position));
+		if (control === undefined || instance === undefined) {
 			return false;
 		}
 
-		const [first] = missing.toSorted(comparePositions);
+		const [earliestMissing] = missingPositions.toSorted(comparePositions);
 		const sentAt = this.clock.getNow();
-		const request = create(ProbeRequestSchema, first === undefined ? {} : {atLeast: formatPosition(first), maxWaitMs: maxProbeWaitMs});
+		const request = create(ProbeRequestSchema, earliestMissing === undefined ? {} : {atLeast: formatPosition(earliestMissing), maxWaitMs: maxProbeWaitMs});
 		const status = await control.probe(request, {timeoutMs: maxProbeWaitMs * 2});
-		status.ifRight(answer => {
-			view.observeReport(parseInstanceStatus(answer), sentAt);
+		status.ifRight(response => {
+			instance.observeReport(parseInstanceStatus(response), sentAt);
 		});
 		return status.isRight();
 	}
@@ -108,9 +110,9 @@
 			return 'unconfirmed';
 		}
 
-		const others = this.group.instances.filter(instance => instance.name !== this.group.primaryName);
-		// A copy counts only with an entry of this term behind it: one of an older term may yet be overruled.
-		return others.some(replica => replica.term === term && replica.position.term === term && isAtLeast(replica.position, position)) ? 'confirmed' : undefined;
+		const replicas = this.group.instances.filter(instance => instance.name !== this.group.primaryName);
+		// A copy counts only if the last entry of the replica's log is of this term: entries that end in an older term may still be overwritten by a later primary.
+		return replicas.some(replica => replica.term === term && replica.position.term === term && isAtLeast(replica.position, position)) ? 'confirmed' : undefined;
 	}
 
 	#resolveExpired(): void {
@@ -118,11 +120,11 @@
 		this.#resolvePending(write => (write.deadline <= now ? 'timed-out' : undefined));
 	}
 
-	#resolvePending(judge: (write: PendingWrite) => Confirmation | undefined): void {
+	#resolvePending(getConfirmation: (write: PendingWrite) => Confirmation | undefined): void {
 		const pending = this.#pending;
 		this.#pending = [];
 		for (const write of pending) {
-			const confirmation = judge(write);
+			const confirmation = getConfirmation(write);
 			if (confirmation === undefined) {
 				this.#pending.push(write);
 			} else {
