--- a/packages/proxy/src/requests/claim-registry.ts
+++ b/packages/proxy/src/requests/claim-registry.ts
@@ -4,25 +4,28 @@
 import {type Table} from '@chicorysaddle/store';
 
 const claimSchema = z.object({bodyHash: z.string(), claimId: z.string()});
-/** Rows that claims are spread over; each row keeps the newest claims only. */
+
+/** Number of table rows that claims are hashed into. */
 const bucketCount = 4096;
+
+/** Claims kept per row; the oldest are dropped first. */
 const maxClaimsPerBucket = 64;
 
 const bucketSchema = z.array(z.tuple([z.string(), claimSchema]));
 
 /**
- * Claims request ids in the platform's table, for groups that do not record them.
- * The rows are fixed in number and each keeps a fixed number of claims, the oldest going first.
+ * Claims request ids in the platform's table for groups that do not record them.
+ * The number of rows and of claims per row is fixed; a full row drops its oldest claim.
  */
 export class ClaimRegistry {
 	constructor(private readonly table: Table) {}
 
 	/**
-	 * Claims an id; whoever claims it first may send the request, once.
+	 * Claims a request id; only the first claim may send the request, and only once.
 	 * @param recordId - Identity of the request.
-	 * @param bodyHash - Hash of what it asks for.
-	 * @param claimId - Identity of this claim, by which a lost answer is settled.
-	 * @param idempotencyKey - The caller's id, for messages.
+	 * @param bodyHash - Hash of the request body.
+	 * @param claimId - Identity of this claim, by which a retry recognizes its own claim after a lost response of the table.
+	 * @param idempotencyKey - Idempotency-Key of the caller, for error messages.
 	 */
 	async claimRequest(recordId: string, bodyHash: string, claimId: string, idempotencyKey: string): Promise<Either<Refusal, void>> {
 		const attempts = 4;
@@ -45,9 +48,9 @@
 
 		const [row] = rows.unsafeCoerce();
 		const claims = row === undefined || row.version === 0 ? [] : bucketSchema.parse(JSON.parse(row.value));
-		const known = claims.find(([id]) => id === recordId)?.[1];
-		if (known !== undefined) {
-			return checkClaim(known, bodyHash, claimId, idempotencyKey);
+		const existing = claims.find(([id]) => id === recordId)?.[1];
+		if (existing !== undefined) {
+			return checkClaim(existing, bodyHash, claimId, idempotencyKey);
 		}
 
 		const value = JSON.stringify([...claims, [recordId, {bodyHash, claimId}]].slice(-maxClaimsPerBucket));
@@ -59,12 +62,12 @@
 	}
 }
 
-function checkClaim(known: z.infer<typeof claimSchema>, bodyHash: string, claimId: string, idempotencyKey: string): Either<Refusal, void> {
-	if (known.bodyHash !== bodyHash) {
+function checkClaim(existing: z.infer<typeof claimSchema>, bodyHash: string, claimId: string, idempotencyKey: string): Either<Refusal, void> {
+	if (existing.bodyHash !== bodyHash) {
 		return Left(refusals.requestMismatch(idempotencyKey));
 	}
 
-	return known.claimId === claimId ? Right(undefined) : Left(refusals.outcomeUnknown('the request was sent before'));
+	return existing.claimId === claimId ? Right(undefined) : Left(refusals.outcomeUnknown('the request was sent before'));
 }
 
 function getBucketKey(recordId: string): string {
--- a/packages/proxy/src/requests/read-runner.ts
+++ b/packages/proxy/src/requests/read-runner.ts
@@ -13,47 +13,49 @@
 import {type RequestDependencies} from './request-dependencies.js';
 import {delay} from './delay.js';
 
-/** One read, with everything that decides where it may run. */
+/** One read, with what determines the instances that may run it. */
 export type ReadRequest = {
 	readonly route: Route;
 	readonly group: Group;
 	readonly parameters: Readonly<Record<string, string>>;
 	readonly caller: CallerIdentity;
+	/** Weight of the account in the queue. */
 	readonly weight: number;
+	/** What the session has seen of the group. */
 	readonly watermark: SessionWatermark;
-	/** Age of data that the read accepts; zero asks for none in particular. */
+	/** Maximum age of the data, in milliseconds; zero for no limit. */
 	readonly maxStalenessMs: number;
 };
 
-type AttemptResult = {readonly kind: 'answered'; readonly answer: EndpointResponse} | {readonly kind: 'failed'; readonly isEndpointRefusal: boolean};
+type AttemptResult = {readonly kind: 'answered'; readonly response: EndpointResponse} | {readonly kind: 'failed'; readonly isEndpointRefusal: boolean};
 
-/** Runs reads on replicas that have what the session has seen, else on the primary. */
+/** Runs reads on replicas that have reached the session's position, or else on the primary. */
 export class ReadRunner {
 	constructor(private readonly dependencies: RequestDependencies) {}
 
-	/** Runs a read, moving on to another instance when one fails. */
+	/** Runs a read and retries it on another instance if one fails. */
 	async runRead(read: ReadRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
-		const {authenticator: gate, clock, retryBudget} = this.dependencies;
+		const {authenticator, clock, retryBudget} = this.dependencies;
 		const tried = new Set<string>();
 		for (let attempt = 0; ; attempt += 1) {
-			const slot = await this.#acquirePlacement(read, context, tried);
-			if (slot.isLeft()) {
-				return slot;
+			const acquired = await this.#acquirePlacement(read, context, tried);
+			if (acquired.isLeft()) {
+				return acquired;
 			}
 
-			const held = slot.unsafeCoerce();
-			const allowed = gate.checkIdentity(read.caller);
+			const placement = acquired.unsafeCoerce();
+			const allowed = authenticator.checkIdentity(read.caller);
 			if (allowed.isLeft()) {
-				held.release(true);
+				placement.release(true);
 				return allowed;
 			}
 
-			const result = await this.#executeRead(read, held, context);
+			const result = await this.#executeRead(read, placement, context);
 			if (result.kind === 'answered') {
-				return Right(result.answer);
+				return Right(result.response);
 			}
 
-			tried.add(held.instance.name);
+			tried.add(placement.instance.name);
 			if (!result.isEndpointRefusal && !retryBudget.acquireRetry()) {
 				return Left(refusals.overloaded(read.group.state.name, getRetryDelayMs(attempt, this.dependencies.getRandom())));
 			}
@@ -68,21 +70,21 @@
 	async #acquirePlacement(read: ReadRequest, context: RequestContext, tried: ReadonlySet<string>): Promise<Either<Refusal, Placement>> {
 		const {router, clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
-		const need = {
+		const requirements = {
 			position: read.watermark.position, primaryOnly: read.watermark.primaryOnly, maxStalenessMs: read.maxStalenessMs, tried,
 		};
-		const slot = await read.group.dispatcher.acquirePlacement({
+		const placement = await read.group.dispatcher.acquirePlacement({
 			account: read.caller.account,
 			priority: read.route.priority,
 			weight: read.weight,
 			deadline: context.deadline,
-			chooseInstance: now => router.chooseInstance(read.group.state, need, now),
+			chooseInstance: now => router.chooseInstance(read.group.state, requirements, now),
 		});
 		metrics.recordDuration('queue', clock.getNow() - startedAt);
-		return slot;
+		return placement;
 	}
 
-	async #executeRead(read: ReadRequest, slot: Placement, context: RequestContext): Promise<AttemptResult> {
+	async #executeRead(read: ReadRequest, placement: Placement, context: RequestContext): Promise<AttemptResult> {
 		const {clock, metrics, tracing} = this.dependencies;
 		const sentAt = clock.getNow();
 		const request = create(ExecuteRequestSchema, {
@@ -91,40 +93,40 @@
 			parameters: read.parameters,
 			atLeast: formatPosition(read.watermark.position),
 			term: BigInt(read.group.state.term),
-			maxWaitMs: slot.waitMs,
+			maxWaitMs: placement.waitMs,
 			maxStalenessMs: read.maxStalenessMs,
 		});
-		const result = await tracing.runInSpan('endpoint execute', context.trace, async (own, span) => {
-			span.setAttributes({endpoint: slot.instance.name, group: read.group.state.name});
-			return slot.connection.execute(request, {timeoutMs: context.deadline - sentAt, traceparent: tracing.formatTraceparent(own)});
+		const result = await tracing.runInSpan('endpoint execute', context.trace, async (spanContext, span) => {
+			span.setAttributes({endpoint: placement.instance.name, group: read.group.state.name});
+			return placement.connection.execute(request, {timeoutMs: context.deadline - sentAt, traceparent: tracing.formatTraceparent(spanContext)});
 		});
 		const durationMs = clock.getNow() - sentAt;
 		metrics.recordDuration('endpoint', durationMs);
 		return result.caseOf<AttemptResult>({
 			Left(failure) {
-				slot.release(false);
+				placement.release(false);
 				if (failure.stage === 'unsent') {
-					slot.instance.observeUnreachable(sentAt);
+					placement.instance.observeUnreachable(sentAt);
 				}
 
-				read.group.observeFailure(slot.instance);
+				read.group.observeFailure(placement.instance);
 				return {kind: 'failed', isEndpointRefusal: false};
 			},
 			Right: response => {
-				slot.instance.observeLatency(durationMs);
-				read.group.observeResponse(slot.instance);
-				slot.release(true);
-				return this.#checkResponse(read, slot, response, sentAt);
+				placement.instance.observeLatency(durationMs);
+				read.group.observeResponse(placement.instance);
+				placement.release(true);
+				return this.#checkResponse(read, placement, response, sentAt);
 			},
 		});
 	}
 
-	#checkResponse(read: ReadRequest, slot: Placement, response: ExecuteResponse, sentAt: number): AttemptResult {
+	#checkResponse(read: ReadRequest, placement: Placement, response: ExecuteResponse, sentAt: number): AttemptResult {
 		const position = parsePosition(response.position);
-		slot.instance.observePosition(position, response.stalenessMs, sentAt);
-		const isPrimary = slot.instance.name === read.group.state.primaryName;
-		const isYoungEnough = read.maxStalenessMs === 0 || isPrimary || response.stalenessMs <= read.maxStalenessMs;
-		const isUsable = response.outcome === Outcome.DONE && isAtLeast(position, read.watermark.position) && isYoungEnough;
-		return isUsable ? {kind: 'answered', answer: parseEndpointResponse(response, isPrimary)} : {kind: 'failed', isEndpointRefusal: true};
+		placement.instance.observePosition(position, response.stalenessMs, sentAt);
+		const isPrimary = placement.instance.name === read.group.state.primaryName;
+		const isFreshEnough = read.maxStalenessMs === 0 || isPrimary || response.stalenessMs <= read.maxStalenessMs;
+		const isUsable = response.outcome === Outcome.DONE && isAtLeast(position, read.watermark.position) && isFreshEnough;
+		return isUsable ? {kind: 'answered', response: parseEndpointResponse(response, isPrimary)} : {kind: 'failed', isEndpointRefusal: true};
 	}
 }
--- a/packages/proxy/src/requests/request-context.ts
+++ b/packages/proxy/src/requests/request-context.ts
@@ -1,13 +1,13 @@
 import {type Context} from '@opentelemetry/api';
 
-/** What came with a request besides its body. */
+/** Headers, deadline and trace of a request. */
 export type RequestContext = {
-	/** The Authorization header. */
+	/** Value of the Authorization header. */
 	readonly authorization: string;
-	/** The Idempotency-Key header, empty for none. */
+	/** Value of the Idempotency-Key header; empty if absent. */
 	readonly idempotencyKey: string;
-	/** Time by which an answer or a refusal has to be sent. */
+	/** Time by which a response or a refusal has to be sent, in monotonic milliseconds. */
 	readonly deadline: number;
-	/** Trace that the request belongs to. */
+	/** Trace context of the request. */
 	readonly trace: Context;
 };
--- a/packages/proxy/src/requests/request-dependencies.ts
+++ b/packages/proxy/src/requests/request-dependencies.ts
@@ -7,10 +7,10 @@
 import {type SessionTokenCodec} from '../sessions/index.js';
 import {type ClaimRegistry} from './claim-registry.js';
 
-/** Names of the moments at which a write is acknowledged. */
+/** Policy of acknowledging a write: once a replica holds it, or at once when the primary has responded. */
 export type AcknowledgePolicy = 'replica' | 'at-once';
 
-/** Parts that serve requests. */
+/** Dependencies of the request and transaction runners. */
 export type RequestDependencies = {
 	readonly authenticator: CallerAuthenticator;
 	readonly configuration: ConfigurationReplica;
@@ -24,8 +24,8 @@
 	readonly metrics: Metrics;
 	readonly tracing: Tracing;
 	readonly acknowledge: AcknowledgePolicy;
-	/** Returns a random number from zero up to one. */
+	/** Returns a random number from zero (inclusive) to one (exclusive). */
 	getRandom(): number;
-	/** Returns an identity that no other request has. */
+	/** Returns a unique id. */
 	createId(): string;
 };
--- a/packages/proxy/src/requests/request-runner.ts
+++ b/packages/proxy/src/requests/request-runner.ts
@@ -10,19 +10,20 @@
 import {type RequestDependencies} from './request-dependencies.js';
 import {WriteRunner} from './write-runner.js';
 
-/** A request on a route. */
+/** A request to a route. */
 export type RouteRequest = {
 	readonly route: string;
 	readonly parameters: Readonly<Record<string, string>>;
+	/** Session token. */
 	readonly session: string;
-	/** Staleness the caller accepts; zero takes the route's. */
+	/** Staleness that the caller accepts, in milliseconds; zero for the setting of the route. */
 	readonly acceptedStalenessMs: number;
 };
 
-/** An answer with the session token to use from now on. */
+/** A response with the session token for the next request. */
 export type RunResult = {readonly response: EndpointResponse; readonly session: string};
 
-/** A refusal, with a session token where the refusal changed the session. */
+/** A refusal, with a new session token if the session changed and an empty one otherwise. */
 export type RunRefusal = {readonly refusal: Refusal; readonly session: string};
 
 type ValidRequest = {
@@ -32,7 +33,7 @@
 	readonly session: Session;
 };
 
-/** Serves requests on routes: checks, admits, queues, runs and answers them. */
+/** Serves requests to routes: validates, admits and runs them, and updates their sessions. */
 export class RequestRunner {
 	readonly #readRunner: ReadRunner;
 	readonly #writeRunner: WriteRunner;
@@ -46,14 +47,14 @@
 	async runRequest(request: RouteRequest, context: RequestContext): Promise<Either<RunRefusal, RunResult>> {
 		const {metrics, clock} = this.dependencies;
 		const startedAt = clock.getNow();
-		const checked = this.#validateRequest(request, context);
-		if (checked.isLeft()) {
-			const refusal = checked.swap().unsafeCoerce();
+		const validated = this.#validateRequest(request, context);
+		if (validated.isLeft()) {
+			const refusal = validated.swap().unsafeCoerce();
 			metrics.addCount(`refused_kind.${refusal.kind}`);
 			return Left({refusal, session: ''});
 		}
 
-		const {route, caller, session} = checked.unsafeCoerce();
+		const {route, caller, session} = validated.unsafeCoerce();
 		const admitted = await this.admitRequest(caller, context);
 		if (admitted.isLeft()) {
 			return Left({refusal: admitted.extract(), session: ''});
@@ -61,13 +62,13 @@
 
 		this.dependencies.retryBudget.observeRequest();
 		const result = route.access === 'read'
-			? await this.#runRead(request, checked.unsafeCoerce(), context)
-			: await this.#runWrite(request, checked.unsafeCoerce(), context);
+			? await this.#runRead(request, validated.unsafeCoerce(), context)
+			: await this.#runWrite(request, validated.unsafeCoerce(), context);
 		metrics.recordDuration('request', clock.getNow() - startedAt);
 		return this.#completeRequest(result, route, session, caller);
 	}
 
-	/** Waits until the account's limits let a request through. */
+	/** Waits until the limits of the account admit a request. */
 	async admitRequest(caller: CallerIdentity, context: RequestContext): Promise<Either<Refusal, void>> {
 		const {limiter, clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
@@ -78,10 +79,10 @@
 	}
 
 	#validateRequest(request: RouteRequest, context: RequestContext): Either<Refusal, ValidRequest> {
-		const {configuration, authenticator: gate, groups, sessions} = this.dependencies;
+		const {configuration, authenticator, groups, sessions} = this.dependencies;
 		const route = configuration.current.getRoute(request.route);
-		const identified = gate.authenticateCaller(context.authorization, route?.open ?? false);
-		return identified.chain(caller => {
+		const authenticated = authenticator.authenticateCaller(context.authorization, route?.open ?? false);
+		return authenticated.chain(caller => {
 			const group = route && groups.getGroup(route.group);
 			if (route === undefined || group === undefined) {
 				return Left(refusals.unknownRoute(request.route));
--- a/packages/proxy/src/requests/write-runner.ts
+++ b/packages/proxy/src/requests/write-runner.ts
@@ -13,12 +13,13 @@
 import {type RequestDependencies} from './request-dependencies.js';
 import {delay} from './delay.js';
 
-/** One write, with the identity under which it is recorded. */
+/** One write, with the id under which it is recorded. */
 export type WriteRequest = {
 	readonly route: Route;
 	readonly group: Group;
 	readonly parameters: Readonly<Record<string, string>>;
 	readonly caller: CallerIdentity;
+	/** Weight of the account in the queue. */
 	readonly weight: number;
 	readonly requestClass: RequestClass;
 	readonly recordId: string;
@@ -26,7 +27,7 @@
 };
 
 type AttemptResult =
-	| {readonly kind: 'answered'; readonly answer: EndpointResponse}
+	| {readonly kind: 'answered'; readonly response: EndpointResponse}
 	| {readonly kind: 'failed'; readonly stage: RequestStage}
 	| {readonly kind: 'refused'; readonly refusal: Refusal};
 
@@ -34,18 +35,18 @@
 export class WriteRunner {
 	constructor(private readonly dependencies: RequestDependencies) {}
 
-	/** Runs a write, again where its class allows that. */
+	/** Runs a write and retries it where its request class allows it. */
 	async runWrite(write: WriteRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
 		const stages: RequestStage[] = [];
 		for (let attempt = 0; ; attempt += 1) {
-			const slot = await this.#acquirePlacement(write, context);
-			if (slot.isLeft()) {
-				return this.#createFinalRefusal(write, stages, slot.extract());
+			const acquired = await this.#acquirePlacement(write, context);
+			if (acquired.isLeft()) {
+				return this.#createFinalRefusal(write, stages, acquired.extract());
 			}
 
-			const result = await this.#executeWrite(write, slot.unsafeCoerce(), context);
+			const result = await this.#executeWrite(write, acquired.unsafeCoerce(), context);
 			if (result.kind === 'answered') {
-				return Right(result.answer);
+				return Right(result.response);
 			}
 
 			if (result.kind === 'refused') {
@@ -63,7 +64,7 @@
 	async #acquirePlacement(write: WriteRequest, context: RequestContext): Promise<Either<Refusal, Placement>> {
 		const {clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
-		const slot = await write.group.dispatcher.acquirePlacement({
+		const placement = await write.group.dispatcher.acquirePlacement({
 			account: write.caller.account,
 			priority: write.route.priority,
 			weight: write.weight,
@@ -71,14 +72,14 @@
 			chooseInstance: () => choosePrimary(write.group),
 		});
 		metrics.recordDuration('queue', clock.getNow() - startedAt);
-		return slot;
+		return placement;
 	}
 
-	async #executeWrite(write: WriteRequest, slot: Placement, context: RequestContext): Promise<AttemptResult> {
-		const {authenticator: gate, clock, metrics, tracing} = this.dependencies;
-		const allowed = gate.checkIdentity(write.caller);
+	async #executeWrite(write: WriteRequest, placement: Placement, context: RequestContext): Promise<AttemptResult> {
+		const {authenticator, clock, metrics, tracing} = this.dependencies;
+		const allowed = authenticator.checkIdentity(write.caller);
 		if (allowed.isLeft()) {
-			slot.release(true);
+			placement.release(true);
 			return {kind: 'refused', refusal: allowed.extract()};
 		}
 
@@ -94,32 +95,32 @@
 			write: true,
 			term: BigInt(term),
 		});
-		const result = await tracing.runInSpan('endpoint execute', context.trace, async (own, span) => {
-			span.setAttributes({endpoint: slot.instance.name, group: group.state.name});
-			return slot.connection.execute(request, {timeoutMs: context.deadline - sentAt, traceparent: tracing.formatTraceparent(own)});
+		const result = await tracing.runInSpan('endpoint execute', context.trace, async (spanContext, span) => {
+			span.setAttributes({endpoint: placement.instance.name, group: group.state.name});
+			return placement.connection.execute(request, {timeoutMs: context.deadline - sentAt, traceparent: tracing.formatTraceparent(spanContext)});
 		});
 		const durationMs = clock.getNow() - sentAt;
 		metrics.recordDuration('endpoint', durationMs);
 		if (result.isLeft()) {
 			const failure = result.swap().unsafeCoerce();
-			slot.release(false);
+			placement.release(false);
 			if (failure.stage === 'unsent') {
-				slot.instance.observeUnreachable(sentAt);
+				placement.instance.observeUnreachable(sentAt);
 			}
 
-			group.observeFailure(slot.instance);
+			group.observeFailure(placement.instance);
 			return {kind: 'failed', stage: failure.stage};
 		}
 
-		slot.instance.observeLatency(durationMs);
-		group.observeResponse(slot.instance);
-		slot.release(true);
-		return this.#checkResponse(write, slot, term, result.unsafeCoerce(), context);
+		placement.instance.observeLatency(durationMs);
+		group.observeResponse(placement.instance);
+		placement.release(true);
+		return this.#checkResponse(write, placement, term, result.unsafeCoerce(), context);
 	}
 
-	async #checkResponse(write: WriteRequest, slot: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
+	async #checkResponse(write: WriteRequest, placement: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
 		if (response.outcome === Outcome.DONE) {
-			return this.#waitForConfirmation(write, slot, term, response, context);
+			return this.#waitForConfirmation(write, placement, term, response, context);
 		}
 
 		if (response.outcome === Outcome.RECORD_MISMATCH) {
@@ -131,29 +132,29 @@
 		}
 
 		if (response.outcome === Outcome.WRONG_TERM) {
-			void write.group.probeInstance(slot.instance);
+			void write.group.probeInstance(placement.instance);
 		}
 
 		return {kind: 'failed', stage: 'refused-by-endpoint'};
 	}
 
-	async #waitForConfirmation(write: WriteRequest, slot: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
+	async #waitForConfirmation(write: WriteRequest, placement: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
 		const {clock, metrics} = this.dependencies;
 		const position = parsePosition(response.position);
-		slot.instance.observePosition(position, 0, clock.getNow());
+		placement.instance.observePosition(position, 0, clock.getNow());
 		if (this.dependencies.acknowledge === 'at-once') {
-			return {kind: 'answered', answer: parseEndpointResponse(response, true)};
+			return {kind: 'answered', response: parseEndpointResponse(response, true)};
 		}
 
 		const startedAt = clock.getNow();
 		const confirmation = await write.group.confirmer.waitForConfirmation(position, term, context.deadline);
 		metrics.recordDuration('confirm', clock.getNow() - startedAt);
 		return confirmation === 'confirmed'
-			? {kind: 'answered', answer: parseEndpointResponse(response, true)}
+			? {kind: 'answered', response: parseEndpointResponse(response, true)}
 			: {kind: 'failed', stage: 'unconfirmed'};
 	}
 
-	/** Returns why the write is not tried again, undefined when it is. */
+	/** Waits before a retry; returns a refusal if the write must not be retried. */
 	async #waitForRetry(write: WriteRequest, stage: RequestStage, attempt: number, context: RequestContext): Promise<Refusal | undefined> {
 		const {clock, retryBudget} = this.dependencies;
 		if (getRetryDecision(write.requestClass, stage) !== 'retry') {
@@ -173,7 +174,7 @@
 		return undefined;
 	}
 
-	/** "Not run" is said only when no sending of the write can have run. */
+	/** Refuses a write; it is reported as not run only if no attempt can have run. */
 	#createFinalRefusal(write: WriteRequest, stages: readonly RequestStage[], refusal: Refusal): Either<Refusal, EndpointResponse> {
 		const mayHaveRun = getFinalDecision(stages, write.requestClass) === 'refuse-unknown';
 		if (!mayHaveRun || !refusal.hasNotRun) {
@@ -184,15 +185,15 @@
 	}
 }
 
-/** Chooses the primary where it can take a write whose replicas can confirm it. */
+/** Chooses the primary if it is reachable and, in a group with replicas, one of them is reachable to confirm its writes. */
 export function choosePrimary(group: Group): ReadChoice {
 	const {primary, replicas} = group.state;
 	if (!primary?.isReachable) {
 		return {kind: 'none'};
 	}
 
-	const hasReplica = replicas.length === 0 || replicas.some(replica => replica.isReachable);
-	if (!hasReplica) {
+	const hasReachableReplica = replicas.length === 0 || replicas.some(replica => replica.isReachable);
+	if (!hasReachableReplica) {
 		return {kind: 'none'};
 	}
 
