--- a/packages/proxy/src/transactions/transaction-registry.ts
+++ b/packages/proxy/src/transactions/transaction-registry.ts
@@ -3,23 +3,25 @@
 import {type Clock} from '../observability/index.js';
 import {isTransactionLost, type Transaction} from './transaction.js';
 
-/** Limits on the life of a transaction. */
+/** Timeouts of a transaction. */
 export type TransactionTimeouts = {
-	/** Longest pause between two statements, in milliseconds. */
+	/** Maximum time between two statements, in milliseconds. */
 	readonly idleTimeoutMs: number;
+	/** Maximum duration of a transaction, in milliseconds. */
 	readonly totalTimeoutMs: number;
 };
 
-/** What a new transaction is made of. */
+/** Properties of a transaction to add. */
 export type NewTransaction = {
 	readonly id: string;
 	readonly caller: CallerIdentity;
 	readonly group: Group;
 	readonly placement: Placement;
+	/** Term of the primary that it runs on. */
 	readonly term: number;
 };
 
-/** The transactions that this VM holds open. */
+/** The open transactions of this VM. */
 export class TransactionRegistry {
 	readonly #transactions = new Map<string, Transaction>();
 
@@ -33,17 +35,17 @@
 		return this.#transactions.get(id);
 	}
 
-	/** Returns how many transactions are open on an instance. */
+	/** Returns the number of transactions that are open on an instance. */
 	countTransactionsOn(instance: string): number {
 		return [...this.#transactions.values()].filter(transaction => transaction.placement.instance.name === instance).length;
 	}
 
-	addTransaction(structure: NewTransaction): Transaction {
+	addTransaction(newTransaction: NewTransaction): Transaction {
 		const now = this.clock.getNow();
 		const transaction: Transaction = {
-			...structure,
-			groupName: structure.group.state.name,
-			lossesAtBegin: structure.placement.connection.disconnectCount,
+			...newTransaction,
+			groupName: newTransaction.group.state.name,
+			disconnectCountAtBegin: newTransaction.placement.connection.disconnectCount,
 			expiresAt: now + this.timeouts.totalTimeoutMs,
 			idleExpiresAt: now + this.timeouts.idleTimeoutMs,
 			isBusy: false,
@@ -52,15 +54,15 @@
 		return transaction;
 	}
 
-	/** Notes that a statement has ended. */
+	/** Marks a transaction as idle after a statement and restarts its idle timeout. */
 	setIdle(transaction: Transaction): void {
 		transaction.isBusy = false;
 		transaction.idleExpiresAt = this.clock.getNow() + this.timeouts.idleTimeoutMs;
 	}
 
 	/**
-	 * Removes a transaction and gives its connection back.
-	 * @param isClean - Whether the endpoint has ended it; otherwise the connection is closed, which rolls it back.
+	 * Removes a transaction and releases its connection.
+	 * @param isClean - Whether the endpoint has ended the transaction; otherwise the connection is closed, which rolls it back.
 	 */
 	removeTransaction(transaction: Transaction, isClean: boolean): void {
 		if (this.#transactions.delete(transaction.id)) {
@@ -68,12 +70,12 @@
 		}
 	}
 
-	/** Ends the transactions that are out of time, lost or no longer allowed. */
+	/** Rolls back the transactions that have timed out, that have lost their connection or whose caller is no longer allowed. */
 	removeInvalid(isAllowed: (caller: CallerIdentity) => boolean): void {
 		const now = this.clock.getNow();
 		for (const transaction of this.#transactions.values()) {
-			const isLate = now >= transaction.expiresAt || (!transaction.isBusy && now >= transaction.idleExpiresAt);
-			if (isLate || (!transaction.isBusy && (isTransactionLost(transaction) || !isAllowed(transaction.caller)))) {
+			const isExpired = now >= transaction.expiresAt || (!transaction.isBusy && now >= transaction.idleExpiresAt);
+			if (isExpired || (!transaction.isBusy && (isTransactionLost(transaction) || !isAllowed(transaction.caller)))) {
 				this.removeTransaction(transaction, false);
 			}
 		}
--- a/packages/proxy/src/transactions/transaction-runner.ts
+++ b/packages/proxy/src/transactions/transaction-runner.ts
@@ -11,44 +11,45 @@
 import {isTransactionLost, type Transaction} from './transaction.js';
 import {type TransactionRegistry} from './transaction-registry.js';
 
-/** Transactions of this VM on one instance leave this many connections to other requests. */
+/** Connections to an instance that the transactions of this VM leave to other requests. */
 const reservedConnections = 1;
 
 /** A statement of a transaction. */
 export type StatementRequest = {
+	/** Id of the transaction. */
 	readonly transaction: string;
 	readonly route: string;
 	readonly parameters: Readonly<Record<string, string>>;
 };
 
-/** Parts that transactions need besides those of single requests. */
+/** Dependencies of transactions, besides those of single requests. */
 export type TransactionDependencies = RequestDependencies & {
 	readonly registry: TransactionRegistry;
 	readonly requests: RequestRunner;
-	/** VM and incarnation of this process, in front of every transaction id. */
+	/** Prefix of transaction ids: VM and incarnation of this process. */
 	readonly idPrefix: string;
 };
 
-/** Serves interactive transactions on the connections that own them. */
+/** Serves interactive transactions, each on its own connection. */
 export class TransactionRunner {
 	constructor(private readonly dependencies: TransactionDependencies) {}
 
-	/** Begins a transaction on the primary of a group. */
+	/** Begins a transaction on the primary of a group and returns its id. */
 	async beginTransaction(groupName: string, context: RequestContext): Promise<Either<Refusal, string>> {
-		const {authenticator: gate, groups, requests} = this.dependencies;
-		const identified = gate.authenticateCaller(context.authorization, false);
+		const {authenticator, groups, requests} = this.dependencies;
+		const authenticated = authenticator.authenticateCaller(context.authorization, false);
 		const group = groups.getGroup(groupName);
-		if (identified.isLeft() || group === undefined) {
-			return identified.isLeft() ? (identified) : Left(refusals.invalid(`no database group "${groupName}"`));
+		if (authenticated.isLeft() || group === undefined) {
+			return authenticated.isLeft() ? (authenticated) : Left(refusals.invalid(`no database group "${groupName}"`));
 		}
 
-		const caller = identified.unsafeCoerce();
+		const caller = authenticated.unsafeCoerce();
 		const admitted = await requests.admitRequest(caller, context);
 		if (admitted.isLeft()) {
 			return admitted;
 		}
 
-		const slot = await group.dispatcher.acquirePlacement({
+		const acquired = await group.dispatcher.acquirePlacement({
 			account: caller.account, priority: 'normal', weight: 1, deadline: context.deadline,
 			chooseInstance: () => {
 				const choice = choosePrimary(group);
@@ -56,18 +57,18 @@
 				return choice.kind === 'send' && this.dependencies.registry.countTransactionsOn(choice.instance.name) >= (pool?.maxRequestConnections ?? 0) - reservedConnections ? {kind: 'wait'} : choice;
 			},
 		});
-		if (slot.isLeft()) {
-			return slot;
+		if (acquired.isLeft()) {
+			return acquired;
 		}
 
-		const allowed = gate.checkIdentity(caller);
+		const allowed = authenticator.checkIdentity(caller);
 		if (allowed.isLeft()) {
-			slot.unsafeCoerce().release(true);
+			acquired.unsafeCoerce().release(true);
 			return allowed;
 		}
 
 		const transaction = this.dependencies.registry.addTransaction({
-			id: `${this.dependencies.idPrefix}#${this.dependencies.createId()}`, caller, group, placement: slot.unsafeCoerce(), term: group.state.term,
+			id: `${this.dependencies.idPrefix}#${this.dependencies.createId()}`, caller, group, placement: acquired.unsafeCoerce(), term: group.state.term,
 		});
 		return this.#executeBegin(transaction, context);
 	}
@@ -96,7 +97,7 @@
 		return this.#executeStatement(transaction, route, request, context);
 	}
 
-	/** Commits a transaction and waits until a replica holds it. */
+	/** Commits a transaction and waits until a replica holds it, unless writes are acknowledged at once. */
 	async commitTransaction(id: string, sessionToken: string, context: RequestContext): Promise<Either<RunRefusal, RunResult>> {
 		const {sessions} = this.dependencies;
 		const found = this.#findTransaction(id, context);
@@ -140,8 +141,8 @@
 
 		const transaction = found.unsafeCoerce();
 		transaction.isBusy = true;
-		const ended = await this.#execute(transaction, create(ExecuteRequestSchema, {step: Step.ROLL_BACK}), context);
-		this.dependencies.registry.removeTransaction(transaction, ended.map(response => response.outcome === Outcome.DONE).orDefault(false));
+		const rolledBack = await this.#execute(transaction, create(ExecuteRequestSchema, {step: Step.ROLL_BACK}), context);
+		this.dependencies.registry.removeTransaction(transaction, rolledBack.map(response => response.outcome === Outcome.DONE).orDefault(false));
 		return Right(undefined);
 	}
 
@@ -160,8 +161,8 @@
 	}
 
 	#findTransaction(id: string, context: RequestContext): Either<Refusal, Transaction> {
-		const {authenticator: gate, registry} = this.dependencies;
-		return gate.authenticateCaller(context.authorization, false).chain(caller => {
+		const {authenticator, registry} = this.dependencies;
+		return authenticator.authenticateCaller(context.authorization, false).chain(caller => {
 			const transaction = registry.getTransaction(id);
 			if (transaction === undefined) {
 				return Left(refusals.transactionNotFound(id));
@@ -187,42 +188,42 @@
 
 	async #executeStatement(transaction: Transaction, route: Route, request: StatementRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
 		const {registry} = this.dependencies;
-		const response = await this.#execute(transaction, create(ExecuteRequestSchema, {
+		const result = await this.#execute(transaction, create(ExecuteRequestSchema, {
 			statement: route.statement,
 			parameters: request.parameters,
 			write: route.access === 'write',
 			step: Step.STATEMENT,
 			term: BigInt(transaction.term),
 		}), context);
-		const isDone = response.map(answer => answer.outcome === Outcome.DONE).orDefault(false);
+		const isDone = result.map(response => response.outcome === Outcome.DONE).orDefault(false);
 		if (isDone) {
 			registry.setIdle(transaction);
-			return Right(parseEndpointResponse(response.unsafeCoerce(), true));
+			return Right(parseEndpointResponse(result.unsafeCoerce(), true));
 		}
 
-		// Nothing of a transaction lasts before its commit, so that closing the connection undoes it whole.
+		// Nothing is durable before the commit, so closing the connection rolls the whole transaction back.
 		registry.removeTransaction(transaction, false);
 		return Left(refusals.transactionLost(transaction.id));
 	}
 
 	async #executeCommit(transaction: Transaction, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
 		const recordId = context.idempotencyKey === '' ? '' : getRecordId(transaction.caller.account, context.idempotencyKey);
-		const response = await this.#execute(transaction, create(ExecuteRequestSchema, {
+		const result = await this.#execute(transaction, create(ExecuteRequestSchema, {
 			step: Step.COMMIT, term: BigInt(transaction.term), recordId, bodyHash: hashBody(transaction.id, {}),
 		}), context);
-		if (response.isLeft()) {
-			const failure = response.swap().unsafeCoerce();
+		if (result.isLeft()) {
+			const failure = result.swap().unsafeCoerce();
 			return Left(failure.stage === 'unsent' ? refusals.transactionLost(transaction.id) : refusals.outcomeUnknown('the answer to the commit was lost'));
 		}
 
-		const answer = response.unsafeCoerce();
-		if (answer.outcome !== Outcome.DONE) {
-			return Left(answer.outcome === Outcome.RECORD_MISMATCH ? refusals.requestMismatch(context.idempotencyKey) : refusals.transactionLost(transaction.id));
+		const response = result.unsafeCoerce();
+		if (response.outcome !== Outcome.DONE) {
+			return Left(response.outcome === Outcome.RECORD_MISMATCH ? refusals.requestMismatch(context.idempotencyKey) : refusals.transactionLost(transaction.id));
 		}
 
-		const position = parsePosition(answer.position);
+		const position = parsePosition(response.position);
 		const confirmation = this.dependencies.acknowledge === 'at-once' ? 'confirmed' : await transaction.group.confirmer.waitForConfirmation(position, transaction.term, context.deadline);
-		return confirmation === 'confirmed' ? Right(parseEndpointResponse(answer, true)) : Left(refusals.outcomeUnknown('no replica confirmed the commit'));
+		return confirmation === 'confirmed' ? Right(parseEndpointResponse(response, true)) : Left(refusals.outcomeUnknown('no replica confirmed the commit'));
 	}
 
 	async #execute(transaction: Transaction, request: ExecuteRequest, context: RequestContext): Promise<Either<EndpointFailure, ExecuteResponse>> {
@@ -232,8 +233,8 @@
 		}
 
 		request.requestId = this.dependencies.createId();
-		return tracing.runInSpan('endpoint execute', context.trace, async own => transaction.placement.connection.execute(request, {
-			timeoutMs: context.deadline - clock.getNow(), traceparent: tracing.formatTraceparent(own),
+		return tracing.runInSpan('endpoint execute', context.trace, async spanContext => transaction.placement.connection.execute(request, {
+			timeoutMs: context.deadline - clock.getNow(), traceparent: tracing.formatTraceparent(spanContext),
 		}));
 	}
 }
