--- a/xo.config.js
+++ b/xo.config.js
@@ -1,4 +1,4 @@
-/** Generated code and build output are left to their generators. */
+/** XO configuration. Generated code and build output are not linted. */
 const config = [
 	{files: ['**/bin/*.js', '**/container.ts'], rules: {'import-x/no-unassigned-import': 'off', 'n/no-unpublished-bin': 'off'}},
 	{
@@ -14,20 +14,20 @@
 	{
 		files: ['**/*.ts'],
 		rules: {
-			// Node 20 has no Promise.try or iterator helpers; steps that must run in order await in loops.
+			// Sequential steps are awaited in loops; Node.js 20 has neither `Promise.try` nor iterator helpers.
 			'no-await-in-loop': 'off',
 			'@typescript-eslint/naming-convention': 'off',
 			'unicorn/prevent-abbreviations': 'off',
 			'unicorn/no-null': 'off',
-			// The constructors of purify-ts (Left, Right, Just, Nothing) are plain functions.
+			// The constructors of purify-ts (`Left`, `Right`, `Just`, `Nothing`) are called without `new`.
 			'new-cap': ['error', {capIsNewExceptions: ['Left', 'Right', 'Just', 'Maybe', 'EitherAsync']}],
-			// Lookup tables of handlers stand beside the methods they name.
+			// Tables of handlers are declared next to the methods that they call.
 			'@typescript-eslint/member-ordering': 'off',
 			'@stylistic/max-len': 'off',
 			'max-params': ['error', 5],
-			// Work that nobody waits for is chained, not awaited.
+			// Promises of background work are chained because no caller awaits them.
 			'promise/prefer-await-to-then': 'off',
-			// Purify's Either has a method of this name.
+			// `Either` of purify-ts has a method that this rule rejects by its name.
 			'no-use-extend-native/no-use-extend-native': 'off',
 		},
 	},
