--- a/packages/testkit/src/bench/stand-in-server.ts
+++ b/packages/testkit/src/bench/fake-servers.ts
@@ -1,10 +1,10 @@
 import process from 'node:process';
 import {bootstrapConfiguration} from '../embedded/bootstrap.js';
-import {createDeployment} from '../stand-ins/index.js';
+import {createFakeDeployment} from '../fakes/index.js';
 
 /** Runs a platform and one group whose instances answer at once. */
-const deployment = await createDeployment({
-	groups: ['bench'], zones: ['z'], slots: 64, connections: 66, timing: {serviceMs: 0, openMs: 0, roundTripMs: 0},
+const deployment = await createFakeDeployment({
+	groups: ['bench'], zones: ['z'], slots: 64, connections: 66, timing: {minServiceMs: 0, connectMs: 0, roundTripMs: 0},
 });
 deployment.platform.listVms = () => [{
 	name: 'vm-1', address: '', zone: 'z', state: 'live',
--- a/packages/testkit/src/bench/main.ts
+++ b/packages/testkit/src/bench/main.ts
@@ -12,13 +12,13 @@
 import {ExecuteRequestSchema} from '@chicorysaddle/protocol';
 import {readCpuMs, VmProcess} from '../cluster/index.js';
 
-const seconds = 6;
-const idleConnections = 5000;
+const measuredSeconds = 6;
+const idleConnectionCount = 5000;
 const runPath = '/chicorysaddle.caller.v1.DatabaseService/Run';
 const runBody = JSON.stringify({route: 'bench.get', parameters: {key: 'k'}});
 const runHeaders = {'content-type': 'application/json', authorization: 'Bearer csk_bench'};
 
-type LoadFigures = {readonly perSecond: number; readonly perCoreSecond: number; readonly p50Ms: number; readonly p99Ms: number};
+type LoadStatistics = {readonly perSecond: number; readonly perCoreSecond: number; readonly p50Ms: number; readonly p99Ms: number};
 
 async function startChild(file: string): Promise<{child: ChildProcess; message: unknown}> {
 	const child = fork(fileURLToPath(new URL(file, import.meta.url)));
@@ -26,10 +26,10 @@
 	return {child, message};
 }
 
-async function measureLoad(pid: number, options: autocannon.Options): Promise<LoadFigures> {
+async function measureLoad(pid: number, options: autocannon.Options): Promise<LoadStatistics> {
 	await autocannon({...options, duration: 3});
 	const before = await readCpuMs(pid);
-	const result = await autocannon({...options, duration: seconds});
+	const result = await autocannon({...options, duration: measuredSeconds});
 	const cpuSeconds = (await readCpuMs(pid) - before) / 1000;
 	if (result.non2xx > 0 || result.errors > 0) {
 		throw new Error(`${result.non2xx} refused, ${result.errors} broken`);
@@ -44,7 +44,7 @@
 async function measureIdleConnections(vm: VmProcess): Promise<number> {
 	const before = await vm.readMemoryMb();
 	const sockets: Socket[] = [];
-	for (let opened = 0; opened < idleConnections; opened += 1) {
+	for (let opened = 0; opened < idleConnectionCount; opened += 1) {
 		const socket = connect(vm.ports.caller, vm.address);
 		await once(socket, 'connect');
 		sockets.push(socket);
@@ -55,14 +55,14 @@
 		socket.destroy();
 	}
 
-	return ((after - before) * 1024) / idleConnections;
+	return ((after - before) * 1024) / idleConnectionCount;
 }
 
-const bare = await startChild('bare-server.js');
-const standIns = await startChild('stand-in-server.js');
-const {platform, endpoint} = standIns.message as {platform: number; endpoint: string};
-const folder = await mkdtemp(path.join(tmpdir(), 'chicorysaddle-bench-'));
-const settingsFile = path.join(folder, 'vm.toml');
+const bareServer = await startChild('bare-server.js');
+const fakeServers = await startChild('fake-servers.js');
+const {platform, endpoint} = fakeServers.message as {platform: number; endpoint: string};
+const settingsFolder = await mkdtemp(path.join(tmpdir(), 'chicorysaddle-bench-'));
+const settingsFile = path.join(settingsFolder, 'vm.toml');
 await writeFile(settingsFile, `[vm]\nname = "vm-1"\nzone = "z"\n[ports]\ncaller = 0\npeer = 0\noperator = 0\n[platform]\naddress = "127.0.0.1:${platform}"\n[peers]\nsecret = "a-secret-of-the-bench"\n`);
 const vm = new VmProcess('vm-1', 'z', '127.0.0.1');
 await vm.start(settingsFile);
@@ -71,10 +71,10 @@
 	isReady = response.ok;
 }
 
-const load = {
+const proxyRequest = {
 	method: 'POST' as const, body: runBody, headers: runHeaders, connections: 32,
 };
-const direct = {
+const endpointRequest = {
 	url: `http://${endpoint}/chicorysaddle.endpoint.v1.EndpointService/Execute`,
 	method: 'POST' as const,
 	headers: {'content-type': 'application/proto'},
@@ -82,16 +82,16 @@
 	connections: 1,
 };
 const idleConnectionKb = await measureIdleConnections(vm);
-const figures = {
-	bare: await measureLoad(bare.child.pid!, {...load, url: `http://127.0.0.1:${bare.message as number}${runPath}`}),
-	proxy: await measureLoad(vm.pid, {...load, url: `http://127.0.0.1:${vm.ports.caller}${runPath}`}),
-	proxyOneByOne: await measureLoad(vm.pid, {...load, connections: 1, url: `http://127.0.0.1:${vm.ports.caller}${runPath}`}),
-	direct: await measureLoad(standIns.child.pid!, direct),
+const statistics = {
+	bare: await measureLoad(bareServer.child.pid!, {...proxyRequest, url: `http://127.0.0.1:${bareServer.message as number}${runPath}`}),
+	proxy: await measureLoad(vm.pid, {...proxyRequest, url: `http://127.0.0.1:${vm.ports.caller}${runPath}`}),
+	proxyOneByOne: await measureLoad(vm.pid, {...proxyRequest, connections: 1, url: `http://127.0.0.1:${vm.ports.caller}${runPath}`}),
+	direct: await measureLoad(fakeServers.child.pid!, endpointRequest),
 	idleConnectionKb,
 };
-process.stdout.write(`${JSON.stringify(figures, undefined, '\t')}\n`);
-process.stdout.write(`throughput ${(figures.proxy.perSecond / figures.bare.perSecond).toFixed(2)} of a bare connect server; added p50 ${(figures.proxyOneByOne.p50Ms - figures.direct.p50Ms).toFixed(2)} ms, p99 ${(figures.proxyOneByOne.p99Ms - figures.direct.p99Ms).toFixed(2)} ms; ${figures.idleConnectionKb.toFixed(1)} KB an idle connection\n`);
+process.stdout.write(`${JSON.stringify(statistics, undefined, '\t')}\n`);
+process.stdout.write(`throughput ${(statistics.proxy.perSecond / statistics.bare.perSecond).toFixed(2)} of a bare connect server; added p50 ${(statistics.proxyOneByOne.p50Ms - statistics.direct.p50Ms).toFixed(2)} ms, p99 ${(statistics.proxyOneByOne.p99Ms - statistics.direct.p99Ms).toFixed(2)} ms; ${statistics.idleConnectionKb.toFixed(1)} KB an idle connection\n`);
 vm.kill();
-bare.child.kill();
-standIns.child.kill();
+bareServer.child.kill();
+fakeServers.child.kill();
 process.exit(0);
--- a/packages/testkit/src/capacity/main.ts
+++ b/packages/testkit/src/capacity/main.ts
@@ -7,25 +7,25 @@
 import {createAccounts, deployments} from '../measure/index.js';
 
 /** One slope: what one more unit costs. */
-type Slope = {readonly name: string; readonly value: number; readonly unit: string};
+type UnitCost = {readonly name: string; readonly value: number; readonly unit: string};
 
 const limits = {rate: 10, burst: 10, weight: 1};
 
-function readHeap(): number {
+function getHeapBytes(): number {
 	(globalThis as {gc?: () => void}).gc?.();
 	return process.memoryUsage().heapUsed;
 }
 
 /** Bytes of heap that each of a number of things takes. */
-function measureHeap(count: number, build: () => unknown): number {
-	const before = readHeap();
-	const held = build();
-	const after = readHeap();
-	return held === undefined ? 0 : (after - before) / count;
+function measureHeapBytes(count: number, create: () => unknown): number {
+	const before = getHeapBytes();
+	const retained = create();
+	const after = getHeapBytes();
+	return retained === undefined ? 0 : (after - before) / count;
 }
 
 /** Microseconds that one run of a task takes. */
-function measureTime(count: number, task: (index: number) => void): number {
+function measureMicroseconds(count: number, task: (index: number) => void): number {
 	const startedAt = performance.now();
 	for (let index = 0; index < count; index += 1) {
 		task(index);
@@ -48,9 +48,9 @@
 	});
 }
 
-function measureConfiguration(): Slope[] {
+function measureConfiguration(): UnitCost[] {
 	const count = 50_000;
-	const build = (rows: StoredRow[]) => () => {
+	const createConfiguration = (rows: StoredRow[]) => () => {
 		const configuration = new Configuration();
 		configuration.applyChange({
 			version: 1, writeId: 'w', author: 'a', summary: '', rows: [formatRow('group', 'g', {recordsRequestIds: true}), ...rows],
@@ -61,11 +61,11 @@
 	};
 
 	const accounts = createRows('account', count);
-	const configuration = build(accounts)();
+	const configuration = createConfiguration(accounts)();
 	const keys = createRows('key', count);
-	const accountBytes = measureHeap(count, build(accounts));
-	const keyBytes = measureHeap(count, build([...accounts, ...keys])) - accountBytes;
-	const changeMicroseconds = measureTime(1000, index => {
+	const accountBytes = measureHeapBytes(count, createConfiguration(accounts));
+	const keyBytes = measureHeapBytes(count, createConfiguration([...accounts, ...keys])) - accountBytes;
+	const changeMicroseconds = measureMicroseconds(1000, index => {
 		configuration.applyChange({
 			version: index + 2, writeId: 'w', author: 'a', summary: '', rows: [formatRow('account', `account-${index}`, {...limits, rate: 20})],
 		});
@@ -73,12 +73,12 @@
 	return [
 		{name: 'memory of a client account', value: accountBytes, unit: 'B'},
 		{name: 'memory of a key', value: keyBytes, unit: 'B'},
-		{name: 'memory of an endpoint', value: measureHeap(count, build(createRows('endpoint', count))), unit: 'B'},
+		{name: 'memory of an endpoint', value: measureHeapBytes(count, createConfiguration(createRows('endpoint', count))), unit: 'B'},
 		{name: 'CPU to apply a change of one row', value: changeMicroseconds, unit: 'us'},
 	];
 }
 
-function measureAllocator(): Slope[] {
+function measureAllocator(): UnitCost[] {
 	const vms = 7;
 	const accounts = 1000;
 	const allocator = new ShareAllocator(0, () => limits);
@@ -89,28 +89,28 @@
 		})),
 	});
 	const reports = Array.from({length: vms}, (_, vm) => createReport(vm));
-	const bytes = measureHeap(accounts * vms, () => {
+	const allocatorBytes = measureHeapBytes(accounts * vms, () => {
 		for (const report of reports) {
 			allocator.createGrant(report, 1e9, 1);
 		}
 
 		return allocator;
 	});
-	const microseconds = measureTime(70, index => {
+	const reportMicroseconds = measureMicroseconds(70, index => {
 		allocator.createGrant(reports[index % vms]!, 1e9, 2 + index);
 	}) / accounts;
 	const admission = new AdmissionControl(() => limits);
-	const admit = measureTime(100_000, index => {
+	const admissionMicroseconds = measureMicroseconds(100_000, index => {
 		admission.requestAdmission(index, 'a', index, index);
 	});
 	return [
-		{name: 'memory of the allocator, an account and VM', value: bytes, unit: 'B'},
-		{name: 'CPU of the allocator, a report of one account from one of 7 VMs', value: microseconds, unit: 'us'},
-		{name: 'CPU of one admission', value: admit, unit: 'us'},
+		{name: 'memory of the allocator, an account and VM', value: allocatorBytes, unit: 'B'},
+		{name: 'CPU of the allocator, a report of one account from one of 7 VMs', value: reportMicroseconds, unit: 'us'},
+		{name: 'CPU of one admission', value: admissionMicroseconds, unit: 'us'},
 	];
 }
 
-function measureFreshness(): Slope[] {
+function measureFreshness(): UnitCost[] {
 	const voters = Array.from({length: 2700}, (_, index) => `vm-${index}`);
 	const freshness = new FreshnessTracker('vm-0', 2500, 0);
 	for (const voter of voters) {
@@ -118,7 +118,7 @@
 	}
 
 	return [{
-		name: 'CPU of one check of freshness by majority, a voter', value: measureTime(50, () => {
+		name: 'CPU of one check of freshness by majority, a voter', value: measureMicroseconds(50, () => {
 			freshness.isFresh(voters, 20);
 		}) / voters.length, unit: 'us',
 	}];
@@ -128,14 +128,14 @@
 async function measureCluster(vms: number): Promise<{cpuPercent: number; peerBytes: number; probeBytes: number; storeReads: number; memoryMb: number}> {
 	const profile = deployments.humidis;
 	const cluster = await Cluster.start({
-		vms, deployment: profile.stand, accounts: createAccounts(profile, 0), policy: {}, peerDelayMs: 1, listLagMs: 2000,
+		vms, deployment: profile.deployment, accounts: createAccounts(profile, 0), policy: {}, peerLatencyMs: 1, vmListLagMs: 2000,
 	});
 	const settleMs = 15_000;
 	const windowMs = 15_000;
-	await wait(settleMs);
-	const before = await readCluster(cluster);
-	await wait(windowMs);
-	const after = await readCluster(cluster);
+	await delay(settleMs);
+	const before = await readClusterUsage(cluster);
+	await delay(windowMs);
+	const after = await readClusterUsage(cluster);
 	await cluster.stop();
 	const perVmSecond = (from: number, to: number) => (to - from) / vms / (windowMs / 1000);
 	return {
@@ -147,7 +147,7 @@
 	};
 }
 
-async function readCluster(cluster: Cluster): Promise<{cpuMs: number; peerBytes: number; probeBytes: number; storeReads: number; memoryMb: number}> {
+async function readClusterUsage(cluster: Cluster): Promise<{cpuMs: number; peerBytes: number; probeBytes: number; storeReads: number; memoryMb: number}> {
 	const cpu = await Promise.all(cluster.vms.map(async vm => readCpuMs(vm.pid)));
 	const memory = await Promise.all(cluster.vms.map(async vm => vm.readMemoryMb()));
 	const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0);
@@ -161,25 +161,25 @@
 	};
 }
 
-async function wait(durationMs: number): Promise<void> {
+async function delay(durationMs: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, durationMs);
 	});
 }
 
-const slopes: Slope[] = [...measureConfiguration(), ...measureAllocator(), ...measureFreshness()];
-const small = await measureCluster(3);
-const large = await measureCluster(7);
-slopes.push(
-	{name: 'control CPU of a VM among 7, idle', value: large.cpuPercent, unit: '% of a core'},
-	{name: 'control CPU of a VM, a peer', value: (large.cpuPercent - small.cpuPercent) / 4, unit: '% of a core'},
-	{name: 'peer traffic of a VM among 7, both ways', value: large.peerBytes, unit: 'B/s'},
-	{name: 'peer traffic of a VM, a peer', value: (large.peerBytes - small.peerBytes) / 4, unit: 'B/s'},
-	{name: 'probe traffic of a VM among 7, 9 instances', value: large.probeBytes, unit: 'B/s'},
-	{name: 'store reads of a VM', value: large.storeReads, unit: '/s'},
-	{name: 'resident memory of an idle VM', value: large.memoryMb, unit: 'MB'},
+const unitCosts: UnitCost[] = [...measureConfiguration(), ...measureAllocator(), ...measureFreshness()];
+const smallCluster = await measureCluster(3);
+const largeCluster = await measureCluster(7);
+unitCosts.push(
+	{name: 'control CPU of a VM among 7, idle', value: largeCluster.cpuPercent, unit: '% of a core'},
+	{name: 'control CPU of a VM, a peer', value: (largeCluster.cpuPercent - smallCluster.cpuPercent) / 4, unit: '% of a core'},
+	{name: 'peer traffic of a VM among 7, both ways', value: largeCluster.peerBytes, unit: 'B/s'},
+	{name: 'peer traffic of a VM, a peer', value: (largeCluster.peerBytes - smallCluster.peerBytes) / 4, unit: 'B/s'},
+	{name: 'probe traffic of a VM among 7, 9 instances', value: largeCluster.probeBytes, unit: 'B/s'},
+	{name: 'store reads of a VM', value: largeCluster.storeReads, unit: '/s'},
+	{name: 'resident memory of an idle VM', value: largeCluster.memoryMb, unit: 'MB'},
 );
-for (const {name, value, unit} of slopes) {
+for (const {name, value, unit} of unitCosts) {
 	process.stdout.write(`${name}: ${value.toPrecision(3)} ${unit}\n`);
 }
 
--- a/packages/testkit/src/cluster/cluster.ts
+++ b/packages/testkit/src/cluster/cluster.ts
@@ -6,25 +6,25 @@
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {OperatorService} from '@chicorysaddle/protocol';
 import {hashKey, type Settings} from '@chicorysaddle/proxy';
-import {type AccountStructure, bootstrapConfiguration} from '../embedded/bootstrap.js';
-import {createDeployment, type Deployment, type DeploymentOptions} from '../stand-ins/index.js';
+import {type InitialAccount, bootstrapConfiguration} from '../embedded/bootstrap.js';
+import {createFakeDeployment, type FakeDeployment, type FakeDeploymentOptions} from '../fakes/index.js';
 import {Link} from './link.js';
 import {VmProcess} from './vm-process.js';
 
 /** What a cluster is made of. */
 export type ClusterOptions = {
 	readonly vms: number;
-	readonly deployment: DeploymentOptions;
-	readonly accounts: readonly AccountStructure[];
+	readonly deployment: FakeDeploymentOptions;
+	readonly accounts: readonly InitialAccount[];
 	readonly policy: Partial<Settings['policy']>;
 	/** One-way latency between VMs, in milliseconds. */
-	readonly peerDelayMs: number;
+	readonly peerLatencyMs: number;
 	/** Lag of the platform's list, in milliseconds. */
-	readonly listLagMs: number;
+	readonly vmListLagMs: number;
 	readonly recordsRequestIds?: boolean;
 };
 
-type ListChange = {readonly at: number; readonly name: string; readonly isListed: boolean};
+type VmListChange = {readonly at: number; readonly name: string; readonly isListed: boolean};
 
 const operatorToken = 'operator-token-of-the-tests';
 const peerSecret = 'peer-secret-of-the-tests';
@@ -34,28 +34,28 @@
 export class Cluster {
 	readonly vms: VmProcess[] = [];
 	readonly #links = new Map<string, Link>();
-	readonly #operators = new Map<string, Client<typeof OperatorService>>();
-	readonly #listChanges: ListChange[] = [];
-	#folder = '';
-	#poll: NodeJS.Timeout | undefined;
+	readonly #operatorClients = new Map<string, Client<typeof OperatorService>>();
+	readonly #vmListChanges: VmListChange[] = [];
+	#settingsFolder = '';
+	#readinessTimer: NodeJS.Timeout | undefined;
 
-	private constructor(readonly deployment: Deployment, private readonly options: ClusterOptions) {}
+	private constructor(readonly deployment: FakeDeployment, private readonly options: ClusterOptions) {}
 
 	/** Starts everything and waits until every VM is ready. */
 	static async start(options: ClusterOptions): Promise<Cluster> {
-		const deployment = await createDeployment(options.deployment);
+		const deployment = await createFakeDeployment(options.deployment);
 		const cluster = new Cluster(deployment, options);
-		cluster.#folder = await mkdtemp(path.join(tmpdir(), 'chicorysaddle-'));
+		cluster.#settingsFolder = await mkdtemp(path.join(tmpdir(), 'chicorysaddle-'));
 		const {zones} = options.deployment;
 		for (let index = 0; index < options.vms; index += 1) {
 			cluster.vms.push(new VmProcess(`vm-${index + 1}`, zones[index % zones.length]!, `127.0.1.${index + 1}`));
 		}
 
 		await cluster.#startLinks();
-		deployment.platform.listVms = source => cluster.#listFor(source);
+		deployment.platform.listVms = source => cluster.#getVmList(source);
 		await bootstrapConfiguration(deployment, {accounts: options.accounts, voters: cluster.vms.map(vm => vm.name), recordsRequestIds: options.recordsRequestIds ?? true});
 		await Promise.all(cluster.vms.map(async vm => cluster.startVm(vm)));
-		cluster.#poll = setInterval(() => {
+		cluster.#readinessTimer = setInterval(() => {
 			void cluster.#pollReadiness();
 		}, readinessPollMs);
 		await cluster.waitUntilReady();
@@ -63,49 +63,49 @@
 	}
 
 	async startVm(vm: VmProcess): Promise<void> {
-		const file = path.join(this.#folder, `${vm.name}.toml`);
+		const file = path.join(this.#settingsFolder, `${vm.name}.toml`);
 		await writeFile(file, this.#formatSettings(vm));
-		this.#listChanges.push({at: performance.now(), name: vm.name, isListed: true});
+		this.#vmListChanges.push({at: performance.now(), name: vm.name, isListed: true});
 		await vm.start(file);
 	}
 
 	/** Kills a VM without warning; the platform's list follows later. */
 	killVm(vm: VmProcess): void {
 		vm.kill();
-		this.#listChanges.push({at: performance.now(), name: vm.name, isListed: false});
+		this.#vmListChanges.push({at: performance.now(), name: vm.name, isListed: false});
 	}
 
 	async drainVm(vm: VmProcess): Promise<number> {
 		const code = await vm.drain();
-		this.#listChanges.push({at: performance.now(), name: vm.name, isListed: false});
+		this.#vmListChanges.push({at: performance.now(), name: vm.name, isListed: false});
 		return code;
 	}
 
 	/** Cuts a VM off from peers, platform and endpoints, or connects it again. */
-	setCutOff(vm: VmProcess, isCut: boolean): void {
+	setIsolated(vm: VmProcess, isIsolated: boolean): void {
 		for (const [name, link] of this.#links) {
 			if (name.startsWith(`${vm.name}>`) || name.endsWith(`>${vm.name}`)) {
-				link.isCut = isCut;
+				link.isDropping = isIsolated;
 			}
 		}
 
-		for (const blocked of [this.deployment.platform.blockedSources, ...this.deployment.servers.map(server => server.blockedSources)]) {
-			if (isCut) {
-				blocked.add(vm.address);
+		for (const blockedSources of [this.deployment.platform.blockedSources, ...this.deployment.servers.map(server => server.blockedSources)]) {
+			if (isIsolated) {
+				blockedSources.add(vm.address);
 			} else {
-				blocked.delete(vm.address);
+				blockedSources.delete(vm.address);
 			}
 		}
 	}
 
 	/** Returns the bytes that VMs have sent one another. */
 	countPeerBytes(): number {
-		let bytes = 0;
+		let byteCount = 0;
 		for (const link of this.#links.values()) {
-			bytes += link.bytes;
+			byteCount += link.byteCount;
 		}
 
-		return bytes;
+		return byteCount;
 	}
 
 	/** Returns the VMs that a balancer would use. */
@@ -113,10 +113,10 @@
 		return this.vms.filter(vm => vm.isReady);
 	}
 
-	async waitUntilReady(limitMs = 30_000): Promise<void> {
-		const until = performance.now() + limitMs;
+	async waitUntilReady(timeoutMs = 30_000): Promise<void> {
+		const deadline = performance.now() + timeoutMs;
 		while (this.vms.some(vm => !vm.isReady)) {
-			if (performance.now() > until) {
+			if (performance.now() > deadline) {
 				throw new Error(`not ready: ${this.vms.filter(vm => !vm.isReady).map(vm => vm.name).join(', ')}`);
 			}
 
@@ -127,14 +127,14 @@
 	}
 
 	/** Returns a client of a VM's operator port. */
-	createOperator(vm: VmProcess): Client<typeof OperatorService> {
+	getOperatorClient(vm: VmProcess): Client<typeof OperatorService> {
 		const address = `${vm.address}:${vm.ports.operator}`;
-		const known = this.#operators.get(address);
-		if (known !== undefined) {
-			return known;
+		const existing = this.#operatorClients.get(address);
+		if (existing !== undefined) {
+			return existing;
 		}
 
-		const operator = createClient(OperatorService, createConnectTransport({
+		const client = createClient(OperatorService, createConnectTransport({
 			baseUrl: `http://${address}`,
 			httpVersion: '1.1',
 			nodeOptions: {agent: new Agent({keepAlive: true})},
@@ -143,12 +143,12 @@
 				return next(request);
 			}],
 		}));
-		this.#operators.set(address, operator);
-		return operator;
+		this.#operatorClients.set(address, client);
+		return client;
 	}
 
 	async stop(): Promise<void> {
-		clearInterval(this.#poll);
+		clearInterval(this.#readinessTimer);
 		for (const vm of this.vms) {
 			vm.kill();
 		}
@@ -158,14 +158,14 @@
 		}
 
 		this.deployment.stop();
-		await rm(this.#folder, {recursive: true});
+		await rm(this.#settingsFolder, {recursive: true});
 	}
 
 	async #startLinks(): Promise<void> {
 		for (const from of this.vms) {
 			for (const to of this.vms) {
 				if (from !== to) {
-					const link = new Link(() => (to.state === 'gone' ? undefined : {host: to.address, port: to.ports.peer}), this.options.peerDelayMs);
+					const link = new Link(() => (to.state === 'gone' ? undefined : {host: to.address, port: to.ports.peer}), this.options.peerLatencyMs);
 					await link.start();
 					this.#links.set(`${from.name}>${to.name}`, link);
 				}
@@ -174,19 +174,19 @@
 	}
 
 	/** The list as it was some time ago; each VM is shown the links that lead from it. */
-	#listFor(source: string): ReturnType<Deployment['platform']['listVms']> {
-		const seenUntil = performance.now() - this.options.listLagMs;
-		const listed = new Set<string>();
-		for (const change of this.#listChanges) {
-			if (change.at <= seenUntil && change.isListed) {
-				listed.add(change.name);
-			} else if (change.at <= seenUntil) {
-				listed.delete(change.name);
+	#getVmList(source: string): ReturnType<FakeDeployment['platform']['listVms']> {
+		const visibleUntil = performance.now() - this.options.vmListLagMs;
+		const listedNames = new Set<string>();
+		for (const change of this.#vmListChanges) {
+			if (change.at <= visibleUntil && change.isListed) {
+				listedNames.add(change.name);
+			} else if (change.at <= visibleUntil) {
+				listedNames.delete(change.name);
 			}
 		}
 
 		const from = this.vms.find(vm => vm.address === source);
-		return this.vms.filter(vm => listed.has(vm.name)).map(vm => ({
+		return this.vms.filter(vm => listedNames.has(vm.name)).map(vm => ({
 			name: vm.name, address: this.#links.get(`${from?.name}>${vm.name}`)?.address ?? '', zone: vm.zone, state: 'live' as const,
 		}));
 	}
--- a/packages/testkit/src/cluster/link.ts
+++ b/packages/testkit/src/cluster/link.ts
@@ -4,19 +4,19 @@
 
 /** A one-way-dialled TCP link between two VMs that adds latency and can be cut. */
 export class Link {
-	isCut = false;
+	isDropping = false;
 	/** Bytes carried, both ways. */
-	bytes = 0;
+	byteCount = 0;
 	readonly #server: Server;
 	readonly #sockets = new Set<Socket>();
 
 	/**
 	 * @param getTarget - Returns the current host and port of the far end.
-	 * @param delayMs - One-way latency.
+	 * @param latencyMs - One-way latency.
 	 */
-	constructor(private readonly getTarget: () => {host: string; port: number} | undefined, private readonly delayMs: number) {
+	constructor(private readonly getTarget: () => {host: string; port: number} | undefined, private readonly latencyMs: number) {
 		this.#server = createServer(socket => {
-			this.#accept(socket);
+			this.#acceptConnection(socket);
 		});
 	}
 
@@ -37,29 +37,28 @@
 		}
 	}
 
-	#accept(near: Socket): void {
+	#acceptConnection(inbound: Socket): void {
 		const target = this.getTarget();
 		if (target === undefined) {
-			near.destroy();
+			inbound.destroy();
 			return;
 		}
 
-		const far = connect(target.port, target.host);
-		this.#pipe(near, far);
-		this.#pipe(far, near);
+		const outbound = connect(target.port, target.host);
+		this.#forward(inbound, outbound);
+		this.#forward(outbound, inbound);
 	}
 
-	#pipe(from: Socket, to: Socket): void {
+	#forward(from: Socket, to: Socket): void {
 		this.#sockets.add(from);
 		from.setNoDelay(true);
-		// What is sent over a cut link vanishes; the connection does not break.
 		from.on('data', chunk => {
-			this.bytes += chunk.length;
+			this.byteCount += chunk.length;
 			setTimeout(() => {
-				if (!this.isCut) {
+				if (!this.isDropping) {
 					to.write(chunk);
 				}
-			}, this.delayMs);
+			}, this.latencyMs);
 		});
 		from.on('error', () => undefined);
 		from.on('close', () => {
--- a/packages/testkit/src/cluster/vm-process.ts
+++ b/packages/testkit/src/cluster/vm-process.ts
@@ -38,22 +38,22 @@
 	async start(settingsFile: string): Promise<void> {
 		this.state = 'starting';
 		this.isReady = false;
-		const child = spawn(process.execPath, [daemonPath, settingsFile], {stdio: ['ignore', 'pipe', 'inherit']});
-		this.#child = child;
-		child.once('exit', () => {
-			if (this.#child === child) {
+		const daemon = spawn(process.execPath, [daemonPath, settingsFile], {stdio: ['ignore', 'pipe', 'inherit']});
+		this.#child = daemon;
+		daemon.once('exit', () => {
+			if (this.#child === daemon) {
 				this.state = 'gone';
 				this.isReady = false;
 			}
 		});
 		await new Promise<void>((resolve, reject) => {
-			child.once('exit', code => {
+			daemon.once('exit', code => {
 				reject(new Error(`${this.name} ended with ${code}`));
 			});
-			let rest = '';
-			child.stdout.on('data', chunk => {
-				const lines = (rest + String(chunk)).split('\n');
-				rest = lines.pop() ?? '';
+			let partialLine = '';
+			daemon.stdout.on('data', chunk => {
+				const lines = (partialLine + String(chunk)).split('\n');
+				partialLine = lines.pop() ?? '';
 				for (const line of lines) {
 					this.logs.push(line);
 					if (line.includes('"proxy started"')) {
--- a/packages/testkit/src/embedded/bootstrap.ts
+++ b/packages/testkit/src/embedded/bootstrap.ts
@@ -2,42 +2,42 @@
 import {ConfigurationLog, PlatformClient} from '@chicorysaddle/store';
 import {formatRow, type Route, type StoredRow} from '@chicorysaddle/model';
 import {hashKey} from '@chicorysaddle/proxy';
-import {type Deployment} from '../stand-ins/index.js';
+import {type FakeDeployment} from '../fakes/index.js';
 
 /** An account to begin with. */
-export type AccountStructure = {readonly name: string; readonly rate: number; readonly burst: number; readonly key: string};
+export type InitialAccount = {readonly name: string; readonly rate: number; readonly burst: number; readonly key: string};
 
 /** What the first version of a configuration holds besides the endpoints. */
 export type BootstrapOptions = {
-	readonly accounts: readonly AccountStructure[];
+	readonly accounts: readonly InitialAccount[];
 	readonly voters: readonly string[];
 	/** Whether the groups record request ids. */
 	readonly recordsRequestIds?: boolean;
 };
 
-function describeRoutes(group: string): Array<[string, Route]> {
-	const base = {group, open: false, stalenessMs: 0} as const;
+function createRoutes(group: string): Array<[string, Route]> {
+	const commonFields = {group, open: false, stalenessMs: 0} as const;
 	return [
 		[`${group}.get`, {
-			...base, access: 'read', repeatable: true, priority: 'normal', statement: 'get',
+			...commonFields, access: 'read', repeatable: true, priority: 'normal', statement: 'get',
 		}],
 		[`${group}.browse`, {
-			...base, access: 'read', repeatable: true, priority: 'low', statement: 'get', stalenessMs: 2000,
+			...commonFields, access: 'read', repeatable: true, priority: 'low', statement: 'get', stalenessMs: 2000,
 		}],
 		[`${group}.put`, {
-			...base, access: 'write', repeatable: true, priority: 'normal', statement: 'put',
+			...commonFields, access: 'write', repeatable: true, priority: 'normal', statement: 'put',
 		}],
 		[`${group}.file`, {
-			...base, access: 'write', repeatable: false, priority: 'high', statement: 'append',
+			...commonFields, access: 'write', repeatable: false, priority: 'high', statement: 'append',
 		}],
 		[`${group}.status`, {
-			...base, access: 'read', repeatable: true, priority: 'normal', statement: 'get', open: true,
+			...commonFields, access: 'read', repeatable: true, priority: 'normal', statement: 'get', open: true,
 		}],
 	];
 }
 
 /** Writes the first version of a configuration for a deployment. */
-export async function bootstrapConfiguration(deployment: Deployment, options: BootstrapOptions): Promise<void> {
+export async function bootstrapConfiguration(deployment: FakeDeployment, options: BootstrapOptions): Promise<void> {
 	const rows: StoredRow[] = [
 		formatRow('secret', 'session', {key: randomBytes(32).toString('hex')}),
 		...options.voters.map(voter => formatRow('voter', voter, {})),
@@ -47,7 +47,7 @@
 		]),
 	];
 	for (const group of deployment.groups) {
-		rows.push(formatRow('group', group.name, {recordsRequestIds: options.recordsRequestIds ?? true}), ...describeRoutes(group.name).map(([name, route]) => formatRow('route', name, route)));
+		rows.push(formatRow('group', group.name, {recordsRequestIds: options.recordsRequestIds ?? true}), ...createRoutes(group.name).map(([name, route]) => formatRow('route', name, route)));
 	}
 
 	for (const server of deployment.servers) {
@@ -59,11 +59,11 @@
 	}
 
 	const client = new PlatformClient({address: `127.0.0.1:${deployment.platform.port}`, timeoutMs: 2000});
-	const written = await new ConfigurationLog(client, client).writeChange({
+	const result = await new ConfigurationLog(client, client).writeChange({
 		version: 1, writeId: 'bootstrap', author: 'bootstrap', summary: 'first version', rows,
 	});
 	client.close();
-	written.ifLeft(refusal => {
+	result.ifLeft(refusal => {
 		throw refusal;
 	});
 }
--- a/packages/testkit/src/embedded/main.ts
+++ b/packages/testkit/src/embedded/main.ts
@@ -1,7 +1,7 @@
 import {randomBytes} from 'node:crypto';
 import process from 'node:process';
 import {hashKey, Proxy, settingsSchema} from '@chicorysaddle/proxy';
-import {createDeployment} from '../stand-ins/index.js';
+import {createFakeDeployment} from '../fakes/index.js';
 import {bootstrapConfiguration} from './bootstrap.js';
 
 const callerPort = Number(process.env.PORT ?? 7000);
@@ -9,7 +9,7 @@
 /** Runs one proxy before an embedded platform and three embedded database groups. */
 async function runEmbedded(): Promise<void> {
 	const key = `csk_${randomBytes(12).toString('hex')}`;
-	const deployment = await createDeployment({
+	const deployment = await createFakeDeployment({
 		groups: ['inspections', 'reports', 'certificates'], zones: ['quimper', 'lorient', 'saint-brieuc'], slots: 5, connections: 30,
 	});
 	deployment.platform.listVms = () => [{
@@ -29,8 +29,8 @@
 		operator: {token_hashes: [hashKey(operatorToken)]},
 		log: {level: 'warn'},
 	}));
-	const base = `http://127.0.0.1:${proxy.callerPort}/chicorysaddle.caller.v1.DatabaseService`;
-	const curl = (method: string, body: string, extra = '') => `curl -s ${base}/${method} -H 'Authorization: Bearer ${key}' -H 'Content-Type: application/json'${extra} -d '${body}'`;
+	const baseUrl = `http://127.0.0.1:${proxy.callerPort}/chicorysaddle.caller.v1.DatabaseService`;
+	const formatCurlCommand = (method: string, body: string, extraOptions = '') => `curl -s ${baseUrl}/${method} -H 'Authorization: Bearer ${key}' -H 'Content-Type: application/json'${extraOptions} -d '${body}'`;
 	process.stdout.write([
 		'chicorysaddle runs with an embedded platform and three database groups of three instances.',
 		`caller port    http://127.0.0.1:${proxy.callerPort}`,
@@ -38,9 +38,9 @@
 		`key            ${key}`,
 		'',
 		'Write, read back, and begin a transaction:',
-		curl('Run', '{"route": "inspections.file", "parameters": {"key": "house-1", "value": "damp in the cellar"}}', ' -H \'Idempotency-Key: first-try\''),
-		curl('Run', '{"route": "inspections.get", "parameters": {"key": "house-1"}}'),
-		curl('Begin', '{"group": "inspections"}'),
+		formatCurlCommand('Run', '{"route": "inspections.file", "parameters": {"key": "house-1", "value": "damp in the cellar"}}', ' -H \'Idempotency-Key: first-try\''),
+		formatCurlCommand('Run', '{"route": "inspections.get", "parameters": {"key": "house-1"}}'),
+		formatCurlCommand('Begin', '{"group": "inspections"}'),
 		'',
 	].join('\n'));
 	const stop = () => {
--- a/packages/testkit/src/stand-ins/deployment.ts
+++ b/packages/testkit/src/fakes/fake-deployment.ts
@@ -1,11 +1,11 @@
-import {DatabaseGroup} from './database-group.js';
-import {DatabaseInstance} from './database-instance.js';
-import {EndpointServer, type EndpointTiming} from './endpoint-server.js';
-import {PlatformServer} from './platform-server.js';
-import {SeededRandom} from './random.js';
+import {FakeGroup} from '../fakes/fake-group.js';
+import {FakeInstance} from '../fakes/fake-instance.js';
+import {FakeEndpointServer, type EndpointTiming} from './fake-endpoint-server.js';
+import {FakePlatform} from './fake-platform.js';
+import {SeededRandom} from './seeded-random.js';
 
 /** Sizes of the stand-ins of a deployment. */
-export type DeploymentOptions = {
+export type FakeDeploymentOptions = {
 	readonly groups: readonly string[];
 	readonly zones: readonly string[];
 	/** Statements that an instance runs at once. */
@@ -17,21 +17,21 @@
 };
 
 /** The stand-ins of one deployment: a platform and database groups. */
-export type Deployment = {
-	readonly platform: PlatformServer;
-	readonly groups: DatabaseGroup[];
-	readonly servers: EndpointServer[];
+export type FakeDeployment = {
+	readonly platform: FakePlatform;
+	readonly groups: FakeGroup[];
+	readonly servers: FakeEndpointServer[];
 	stop(): void;
 };
 
-const instantTiming: EndpointTiming = {serviceMs: 1, openMs: 12, roundTripMs: 0};
+const defaultTiming: EndpointTiming = {minServiceMs: 1, connectMs: 12, roundTripMs: 0};
 
 /** Starts the stand-ins of a deployment, with one instance of each group in each availability zone. */
-export async function createDeployment(options: DeploymentOptions): Promise<Deployment> {
+export async function createFakeDeployment(options: FakeDeploymentOptions): Promise<FakeDeployment> {
 	const random = new SeededRandom(options.seed ?? 1);
-	const platform = new PlatformServer();
-	const groups = options.groups.map(name => new DatabaseGroup(name, options.zones.map(zone => new DatabaseInstance(`${name}-${zone}`, zone, options.slots, options.connections))));
-	const servers = groups.flatMap(group => group.instances.map(instance => new EndpointServer(instance, options.timing ?? instantTiming, () => random.getFraction())));
+	const platform = new FakePlatform();
+	const groups = options.groups.map(name => new FakeGroup(name, options.zones.map(zone => new FakeInstance(`${name}-${zone}`, zone, options.slots, options.connections))));
+	const servers = groups.flatMap(group => group.instances.map(instance => new FakeEndpointServer(instance, options.timing ?? defaultTiming, () => random.nextFraction())));
 	await Promise.all([platform.start(), ...servers.map(async server => server.start())]);
 	for (const group of groups) {
 		group.start();
--- a/packages/testkit/src/stand-ins/endpoint-server.ts
+++ b/packages/testkit/src/fakes/fake-endpoint-server.ts
@@ -11,7 +11,7 @@
 	type InstanceStatus, InstanceStatusSchema, Outcome, ProbeRequestSchema, PromoteRequestSchema, Step,
 } from '@chicorysaddle/protocol';
 import {isAtLeast, type LogPosition} from '@chicorysaddle/model';
-import {type DatabaseInstance, type WriteOperation} from './database-instance.js';
+import {type FakeInstance, type WriteOperation} from './fake-instance.js';
 
 /** What an endpoint notes of the requests it ran, for the history. */
 export type EndpointEvent = {
@@ -22,7 +22,7 @@
 	readonly parameters: Readonly<Record<string, string>>;
 	readonly step: Step;
 	/** Everything that came with the request, as text. */
-	readonly wire: string;
+	readonly requestText: string;
 	/** Tags of the writes that took effect. */
 	readonly writtenTags: readonly string[];
 	/** Tags of the writes that a commit applied together. */
@@ -32,19 +32,19 @@
 /** Timing of an endpoint, in milliseconds. */
 export type EndpointTiming = {
 	/** Least time of a statement; its mean is twice that. */
-	readonly serviceMs: number;
-	readonly openMs: number;
+	readonly minServiceMs: number;
+	readonly connectMs: number;
 	readonly roundTripMs: number;
 };
 
-type Execution = Exclude<MessageInitShape<typeof ExecuteResponseSchema>, {$typeName: string}>;
+type ExecutionResult = Exclude<MessageInitShape<typeof ExecuteResponseSchema>, {$typeName: string}>;
 type OpenTransaction = {readonly term: number; readonly operations: WriteOperation[]};
-type SocketState = {isOpened: boolean; transaction: OpenTransaction | undefined};
+type ConnectionState = {isEstablished: boolean; transaction: OpenTransaction | undefined};
 
-const longestSlotWaitMs = 1500;
-const stepMs = 2;
+const maxSlotWaitMs = 1500;
+const positionPollMs = 2;
 
-async function wait(durationMs: number): Promise<void> {
+async function delay(durationMs: number): Promise<void> {
 	if (durationMs <= 0) {
 		return;
 	}
@@ -55,33 +55,33 @@
 }
 
 /** Serves one instance with the protocol that chicorysaddle asks of endpoints. */
-export class EndpointServer {
+export class FakeEndpointServer {
 	/** Called with every request that ran. */
 	onEvent: (event: EndpointEvent) => void = () => undefined;
 	/** Whether the next answer is lost after the request ran. */
-	loseNextAnswer = false;
+	isNextResponseLost = false;
 	/** Source addresses that cannot reach it. */
 	readonly blockedSources = new Set<string>();
 	#server: Server | undefined;
 	#port = 0;
-	#closedBytes = 0;
-	readonly #sockets = new Map<Socket, SocketState>();
-	readonly #slotQueue: Array<() => void> = [];
+	#closedConnectionBytes = 0;
+	readonly #connections = new Map<Socket, ConnectionState>();
+	readonly #slotWaiters: Array<() => void> = [];
 
-	constructor(readonly instance: DatabaseInstance, private readonly timing: EndpointTiming, private readonly getRandom: () => number) {}
+	constructor(readonly instance: FakeInstance, private readonly timing: EndpointTiming, private readonly getRandom: () => number) {}
 
 	get address(): string {
 		return `127.0.0.1:${this.#port}`;
 	}
 
-	get openConnections(): number {
-		return this.#sockets.size;
+	get openConnectionCount(): number {
+		return this.#connections.size;
 	}
 
 	/** Returns the bytes received and sent. */
 	countBytes(): number {
-		let bytes = this.#closedBytes;
-		for (const socket of this.#sockets.keys()) {
+		let bytes = this.#closedConnectionBytes;
+		for (const socket of this.#connections.keys()) {
 			bytes += socket.bytesRead + socket.bytesWritten;
 		}
 
@@ -90,10 +90,10 @@
 
 	async start(): Promise<void> {
 		const server = createServer({keepAliveTimeout: 0, requestTimeout: 0}, (request, response) => {
-			void this.#serve(request, response);
+			void this.#handleRequest(request, response);
 		});
 		server.on('connection', socket => {
-			this.#accept(socket);
+			this.#acceptConnection(socket);
 		});
 		await new Promise<void>(resolve => {
 			server.listen(this.#port, '127.0.0.1', resolve);
@@ -108,71 +108,71 @@
 		this.instance.health = 'dead';
 		this.#server?.close();
 		this.#server = undefined;
-		for (const socket of this.#sockets.keys()) {
+		for (const socket of this.#connections.keys()) {
 			socket.destroy();
 		}
 	}
 
-	#accept(socket: Socket): void {
-		if (this.#sockets.size >= this.instance.connections || this.blockedSources.has(socket.remoteAddress ?? '')) {
+	#acceptConnection(socket: Socket): void {
+		if (this.#connections.size >= this.instance.connections || this.blockedSources.has(socket.remoteAddress ?? '')) {
 			socket.destroy();
 			return;
 		}
 
-		this.#sockets.set(socket, {isOpened: false, transaction: undefined});
+		this.#connections.set(socket, {isEstablished: false, transaction: undefined});
 		socket.on('close', () => {
-			this.#closedBytes += socket.bytesRead + socket.bytesWritten;
-			this.#sockets.delete(socket);
+			this.#closedConnectionBytes += socket.bytesRead + socket.bytesWritten;
+			this.#connections.delete(socket);
 		});
 	}
 
-	async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
+	async #handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const chunks: Uint8Array[] = [];
 		for await (const chunk of request) {
 			chunks.push(chunk as Uint8Array);
 		}
 
-		const state = this.#sockets.get(request.socket);
-		if (state === undefined || this.blockedSources.has(request.socket.remoteAddress ?? '')) {
+		const connection = this.#connections.get(request.socket);
+		if (connection === undefined || this.blockedSources.has(request.socket.remoteAddress ?? '')) {
 			request.socket.destroy();
 			return;
 		}
 
-		await wait(this.timing.roundTripMs + (state.isOpened ? 0 : this.timing.openMs));
-		state.isOpened = true;
+		await delay(this.timing.roundTripMs + (connection.isEstablished ? 0 : this.timing.connectMs));
+		connection.isEstablished = true;
 		const bytes = Buffer.concat(chunks);
 		const method = (request.url ?? '').split('/').at(-1) ?? '';
-		const answer = this.instance.health === 'up' ? await this.#methods[method]?.(bytes, state, JSON.stringify(request.headers)) : undefined;
-		if (answer === undefined || this.instance.health !== 'up') {
+		const responseBody = this.instance.health === 'up' ? await this.#methodHandlers[method]?.(bytes, connection, JSON.stringify(request.headers)) : undefined;
+		if (responseBody === undefined || this.instance.health !== 'up') {
 			return;
 		}
 
-		if (this.loseNextAnswer && method === 'Execute') {
-			this.loseNextAnswer = false;
+		if (this.isNextResponseLost && method === 'Execute') {
+			this.isNextResponseLost = false;
 			request.socket.destroy();
 			return;
 		}
 
-		response.writeHead(200, {'content-type': 'application/proto', 'content-length': answer.length}).end(answer);
+		response.writeHead(200, {'content-type': 'application/proto', 'content-length': responseBody.length}).end(responseBody);
 	}
 
-	readonly #methods: Readonly<Record<string, (body: Uint8Array, state: SocketState, headers: string) => Promise<Uint8Array>>> = {
-		Execute: async (body, state, headers) => {
+	readonly #methodHandlers: Readonly<Record<string, (body: Uint8Array, connection: ConnectionState, headers: string) => Promise<Uint8Array>>> = {
+		Execute: async (body, connection, headers) => {
 			const request = fromBinary(ExecuteRequestSchema, body);
-			const answer = await this.#execute(request, state, headers);
+			const result = await this.#handleExecute(request, connection, headers);
 			return toBinary(ExecuteResponseSchema, create(ExecuteResponseSchema, {
-				...answer, requestId: request.requestId, running: this.instance.running, position: formatWirePosition(this.instance.position), stalenessMs: this.#getStalenessMs(),
+				...result, requestId: request.requestId, running: this.instance.runningCount, position: formatWirePosition(this.instance.position), stalenessMs: this.#getStalenessMs(),
 			}));
 		},
 		Probe: async body => {
 			const request = fromBinary(ProbeRequestSchema, body);
 			await this.#waitForPosition(request.atLeast, request.maxWaitMs);
-			return toBinary(InstanceStatusSchema, this.#describe());
+			return toBinary(InstanceStatusSchema, this.#createStatus());
 		},
 		Fence: async body => {
 			const request = fromBinary(FenceRequestSchema, body);
 			const accepted = this.instance.fence(Number(request.term), request.promoter);
-			return toBinary(FenceResponseSchema, create(FenceResponseSchema, {accepted, status: this.#describe()}));
+			return toBinary(FenceResponseSchema, create(FenceResponseSchema, {accepted, status: this.#createStatus()}));
 		},
 		Promote: async body => {
 			const request = fromBinary(PromoteRequestSchema, body);
@@ -180,31 +180,31 @@
 			if (accepted && !this.instance.isPrimary) {
 				this.instance.isPrimary = true;
 				this.instance.isSynced = true;
-				this.instance.write([], '', '', performance.now());
+				this.instance.appendEntry([], '', '', performance.now());
 			}
 
-			return toBinary(FenceResponseSchema, create(FenceResponseSchema, {accepted, status: this.#describe()}));
+			return toBinary(FenceResponseSchema, create(FenceResponseSchema, {accepted, status: this.#createStatus()}));
 		},
 	};
 
-	async #execute(request: ExecuteRequest, state: SocketState, headers: string): Promise<Execution> {
+	async #handleExecute(request: ExecuteRequest, connection: ConnectionState, headers: string): Promise<ExecutionResult> {
 		if (!await this.#waitForPosition(request.atLeast, request.maxWaitMs) || (request.maxStalenessMs > 0 && this.#getStalenessMs() > request.maxStalenessMs)) {
 			return {outcome: Outcome.BEHIND};
 		}
 
-		if (!await this.#takeSlot()) {
+		if (!await this.#acquireSlot()) {
 			return {outcome: Outcome.BUSY};
 		}
 
 		try {
-			await wait(this.timing.serviceMs * (1 - Math.log(1 - this.getRandom())));
-			return this.#run(request, state, headers);
+			await delay(this.timing.minServiceMs * (1 - Math.log(1 - this.getRandom())));
+			return this.#runRequest(request, connection, headers);
 		} finally {
 			this.#releaseSlot();
 		}
 	}
 
-	#run(request: ExecuteRequest, state: SocketState, headers: string): Execution {
+	#runRequest(request: ExecuteRequest, connection: ConnectionState, headers: string): ExecutionResult {
 		const {instance} = this;
 		const isInTransaction = request.step !== Step.SINGLE;
 		if (Number(request.term) > instance.term) {
@@ -219,7 +219,7 @@
 			return {outcome: Outcome.WRONG_TERM};
 		}
 
-		if (isInTransaction && request.step !== Step.BEGIN && state.transaction?.term !== instance.term) {
+		if (isInTransaction && request.step !== Step.BEGIN && connection.transaction?.term !== instance.term) {
 			return {outcome: Outcome.NO_TRANSACTION};
 		}
 
@@ -228,81 +228,81 @@
 			return record.bodyHash === request.bodyHash ? {outcome: Outcome.DONE, replayed: true} : {outcome: Outcome.RECORD_MISMATCH};
 		}
 
-		const committedTags = request.step === Step.COMMIT ? state.transaction!.operations.map(operation => operation.tag) : [];
-		const result = this.#apply(request, state);
+		const committedTags = request.step === Step.COMMIT ? connection.transaction!.operations.map(operation => operation.tag) : [];
+		const result = this.#applyRequest(request, connection);
 		this.onEvent({
 			at: performance.now(), instance: instance.name, term: instance.term, statement: request.statement, parameters: request.parameters, step: request.step,
 			writtenTags: request.step === Step.SINGLE && request.write ? [request.parameters.tag ?? ''] : committedTags,
-			wire: `${headers} ${JSON.stringify(request.parameters)}`, committedTags,
+			requestText: `${headers} ${JSON.stringify(request.parameters)}`, committedTags,
 		});
 		return result;
 	}
 
-	#apply(request: ExecuteRequest, state: SocketState): Execution {
+	#applyRequest(request: ExecuteRequest, connection: ConnectionState): ExecutionResult {
 		const {instance} = this;
 		const {key = '', value = '', tag = ''} = request.parameters;
 		const now = performance.now();
 		if (request.step === Step.BEGIN) {
-			state.transaction = {term: instance.term, operations: []};
+			connection.transaction = {term: instance.term, operations: []};
 		} else if (request.step === Step.COMMIT || request.step === Step.ROLL_BACK) {
-			const operations = request.step === Step.COMMIT ? state.transaction!.operations : [];
-			state.transaction = undefined;
-			instance.write(operations, request.recordId, request.bodyHash, now);
+			const operations = request.step === Step.COMMIT ? connection.transaction!.operations : [];
+			connection.transaction = undefined;
+			instance.appendEntry(operations, request.recordId, request.bodyHash, now);
 		} else if (request.statement === 'put' || request.statement === 'append') {
 			const operation: WriteOperation = {
 				statement: request.statement, key, value, tag,
 			};
 			if (request.step === Step.STATEMENT) {
-				state.transaction!.operations.push(operation);
+				connection.transaction!.operations.push(operation);
 			} else {
-				instance.write([operation], request.recordId, request.bodyHash, now);
+				instance.appendEntry([operation], request.recordId, request.bodyHash, now);
 			}
 		} else if (request.statement !== 'get') {
 			return {outcome: Outcome.BAD_STATEMENT};
 		}
 
-		const own = state.transaction?.operations.findLast(operation => operation.key === key)?.value;
-		return {outcome: Outcome.DONE, rows: request.statement === 'get' ? [{columns: {key, value: own ?? instance.readValue(key)}}] : []};
+		const uncommittedValue = connection.transaction?.operations.findLast(operation => operation.key === key)?.value;
+		return {outcome: Outcome.DONE, rows: request.statement === 'get' ? [{columns: {key, value: uncommittedValue ?? instance.getValue(key)}}] : []};
 	}
 
 	async #waitForPosition(position: ExecuteRequest['atLeast'], maxWaitMs: number): Promise<boolean> {
-		const wanted = {term: Number(position?.term ?? 0), offset: Number(position?.offset ?? 0)};
-		const until = performance.now() + maxWaitMs;
-		while (!isAtLeast(this.instance.position, wanted)) {
-			if (performance.now() >= until) {
+		const required = {term: Number(position?.term ?? 0), offset: Number(position?.offset ?? 0)};
+		const deadline = performance.now() + maxWaitMs;
+		while (!isAtLeast(this.instance.position, required)) {
+			if (performance.now() >= deadline) {
 				return false;
 			}
 
-			await wait(stepMs);
+			await delay(positionPollMs);
 		}
 
 		return true;
 	}
 
-	async #takeSlot(): Promise<boolean> {
-		if (this.instance.running < this.instance.slots) {
-			this.instance.running += 1;
+	async #acquireSlot(): Promise<boolean> {
+		if (this.instance.runningCount < this.instance.slots) {
+			this.instance.runningCount += 1;
 			return true;
 		}
 
 		return new Promise(resolve => {
 			const timer = setTimeout(() => {
-				this.#slotQueue.splice(this.#slotQueue.indexOf(take), 1);
+				this.#slotWaiters.splice(this.#slotWaiters.indexOf(grantSlot), 1);
 				resolve(false);
-			}, longestSlotWaitMs);
-			const take = () => {
+			}, maxSlotWaitMs);
+			const grantSlot = () => {
 				clearTimeout(timer);
 				resolve(true);
 			};
 
-			this.#slotQueue.push(take);
+			this.#slotWaiters.push(grantSlot);
 		});
 	}
 
 	#releaseSlot(): void {
-		const next = this.#slotQueue.shift();
+		const next = this.#slotWaiters.shift();
 		if (next === undefined) {
-			this.instance.running -= 1;
+			this.instance.runningCount -= 1;
 		} else {
 			next();
 		}
@@ -312,7 +312,7 @@
 		return this.instance.isPrimary ? 0 : Math.ceil(Math.max(0, performance.now() - this.instance.syncedAt));
 	}
 
-	#describe(): InstanceStatus {
+	#createStatus(): InstanceStatus {
 		const {instance} = this;
 		return create(InstanceStatusSchema, {
 			term: BigInt(instance.term),
@@ -320,9 +320,9 @@
 			primary: instance.isPrimary,
 			position: formatWirePosition(instance.position),
 			stalenessMs: this.#getStalenessMs(),
-			running: instance.running,
+			running: instance.runningCount,
 			slots: instance.slots,
-			primarySilentMs: instance.isPrimary ? 0 : Math.ceil(performance.now() - instance.lastContactAt),
+			primarySilentMs: instance.isPrimary ? 0 : Math.ceil(performance.now() - instance.lastPrimaryContactAt),
 		});
 	}
 }
--- a/packages/testkit/src/stand-ins/database-instance.ts
+++ b/packages/testkit/src/fakes/fake-instance.ts
@@ -16,21 +16,21 @@
 export type InstanceHealth = 'up' | 'dead' | 'hung';
 
 /** One instance of a database group that keeps everything in memory. */
-export class DatabaseInstance {
+export class FakeInstance {
 	term = 1;
 	promoter = 'initial';
 	isPrimary = false;
 	health: InstanceHealth = 'up';
 	/** Whether it is cut off from the other instances. */
-	isCutOff = false;
+	isIsolated = false;
 	/** Delay of replication to this instance, in milliseconds. */
 	lagMs = 5;
 	/** Whether its log is known to be a prefix of the primary's of its term. */
 	isSynced = true;
-	lastContactAt = 0;
+	lastPrimaryContactAt = 0;
 	/** Everything written before this time is held. */
 	syncedAt = 0;
-	running = 0;
+	runningCount = 0;
 	log: LogEntry[] = [];
 	readonly #data = new Map<string, string>();
 	readonly #records = new Map<string, LogEntry>();
@@ -41,7 +41,7 @@
 		return this.log.at(-1)?.position ?? logStart;
 	}
 
-	readValue(key: string): string {
+	getValue(key: string): string {
 		return this.#data.get(key) ?? '';
 	}
 
@@ -50,7 +50,7 @@
 	}
 
 	/** Appends an entry of this instance's own term. */
-	write(operations: readonly WriteOperation[], recordId: string, bodyHash: string, now: number): LogEntry {
+	appendEntry(operations: readonly WriteOperation[], recordId: string, bodyHash: string, now: number): LogEntry {
 		const entry = {
 			position: {term: this.term, offset: this.log.length + 1}, operations, recordId, bodyHash, writtenAt: now,
 		};
@@ -71,7 +71,7 @@
 	}
 
 	/** Drops the entries from an index on. */
-	truncate(length: number): void {
+	truncateLog(length: number): void {
 		if (length >= this.log.length) {
 			return;
 		}
--- a/packages/testkit/src/stand-ins/platform-server.ts
+++ b/packages/testkit/src/fakes/fake-platform.ts
@@ -9,16 +9,16 @@
 } from '@chicorysaddle/protocol';
 import {type ListedVm} from '@chicorysaddle/store';
 
-const sourceKey = createContextKey<string>('', {description: 'source address'});
+const sourceAddressKey = createContextKey<string>('', {description: 'source address'});
 
 /** A platform that keeps its table, objects and VM list in memory, with faults. */
-export class PlatformServer {
+export class FakePlatform {
 	/** Whether the table and the object store answer. */
 	isDown = false;
 	/** Delay of every answer, in milliseconds. */
-	delayMs = 2;
+	responseDelayMs = 2;
 	/** Returns whether the answer to a write is lost after it took effect. */
-	isAnswerLost: () => boolean = () => false;
+	isWriteResponseLost: () => boolean = () => false;
 	/** Source addresses that reach neither table nor object store. */
 	readonly blockedSources = new Set<string>();
 	/** Returns the list as a caller at an address sees it. */
@@ -38,35 +38,35 @@
 				router.service(TableService, {
 					read: async (request, context) => {
 						this.counters.reads += 1;
-						await this.#pass(context.values.get(sourceKey));
+						await this.#injectFaults(context.values.get(sourceAddressKey));
 						return this.#read(request);
 					},
 					compareAndSet: async (request, context) => {
 						this.counters.writes += 1;
-						await this.#pass(context.values.get(sourceKey));
-						const answer = this.#compareAndSet(request);
-						if (this.isAnswerLost()) {
+						await this.#injectFaults(context.values.get(sourceAddressKey));
+						const response = this.#compareAndSet(request);
+						if (this.isWriteResponseLost()) {
 							throw new ConnectError('answer lost', Code.Unavailable);
 						}
 
-						return answer;
+						return response;
 					},
 				});
 				router.service(ObjectService, {
 					put: async (request, context) => {
-						await this.#pass(context.values.get(sourceKey));
+						await this.#injectFaults(context.values.get(sourceAddressKey));
 						this.#objects.set(request.key, request.body);
 						return {};
 					},
 					get: async (request, context) => {
-						await this.#pass(context.values.get(sourceKey));
+						await this.#injectFaults(context.values.get(sourceAddressKey));
 						const body = this.#objects.get(request.key);
 						return {found: body !== undefined, body: body ?? new Uint8Array()};
 					},
 				});
-				router.service(VmListService, {list: (_request, context) => ({vms: this.listVms(context.values.get(sourceKey))})});
+				router.service(VmListService, {list: (_request, context) => ({vms: this.listVms(context.values.get(sourceAddressKey))})});
 			},
-			contextValues: request => createContextValues().set(sourceKey, request.socket.remoteAddress ?? ''),
+			contextValues: request => createContextValues().set(sourceAddressKey, request.socket.remoteAddress ?? ''),
 		});
 		this.#server = createServer(adapter);
 		await new Promise<void>(resolve => {
@@ -78,9 +78,9 @@
 		this.#server?.close();
 	}
 
-	async #pass(source: string): Promise<void> {
+	async #injectFaults(source: string): Promise<void> {
 		await new Promise(resolve => {
-			setTimeout(resolve, this.delayMs);
+			setTimeout(resolve, this.responseDelayMs);
 		});
 		if (this.isDown || this.blockedSources.has(source)) {
 			throw new ConnectError('the store is out', Code.Unavailable);
--- a/packages/testkit/src/stand-ins/random.ts
+++ b/packages/testkit/src/fakes/seeded-random.ts
@@ -9,16 +9,16 @@
 	}
 
 	/** Returns a number from zero up to one. */
-	getFraction(): number {
+	nextFraction(): number {
 		return unsafeUniformIntDistribution(0, 0x7F_FF_FF_FE, this.#generator) / 0x7F_FF_FF_FF;
 	}
 
 	/** Returns an exponentially distributed number. */
-	getExponential(mean: number): number {
-		return -Math.log(1 - this.getFraction()) * mean;
+	nextExponential(mean: number): number {
+		return -Math.log(1 - this.nextFraction()) * mean;
 	}
 
-	pick<T>(items: readonly T[]): T {
-		return items[Math.floor(this.getFraction() * items.length)]!;
+	chooseItem<T>(items: readonly T[]): T {
+		return items[Math.floor(this.nextFraction() * items.length)]!;
 	}
 }
--- a/packages/testkit/src/history/history.ts
+++ b/packages/testkit/src/history/history.ts
@@ -1,4 +1,4 @@
-import {type EndpointEvent, type LogEntry} from '../stand-ins/index.js';
+import {type EndpointEvent, type LogEntry} from '../fakes/index.js';
 
 /** What became of a call, as its caller saw it. */
 export type CallOutcome =
@@ -24,42 +24,42 @@
 	/** Unique mark of what the call wrote, empty for none. */
 	readonly tag: string;
 	/** Marks that the session knew to be acknowledged when the call was sent. */
-	readonly knownTags: readonly string[];
+	readonly acknowledgedTags: readonly string[];
 	/** Whether only a refusal is right. */
 	readonly mustBeRefused: boolean;
 	readonly outcome: CallOutcome;
 };
 
 /** A version seen at a VM. */
-export type VersionSighting = {readonly at: number; readonly vm: string; readonly pid: number; readonly version: number; readonly isReady: boolean};
+export type VersionObservation = {readonly at: number; readonly vm: string; readonly pid: number; readonly version: number; readonly isReady: boolean};
 
 /** When an instance began to lead a term. */
 export type PromotionRecord = {readonly at: number; readonly group: string; readonly term: number};
 
 /** Limits of an account, from a time on. */
-export type LimitRecord = {readonly account: string; readonly rate: number; readonly burst: number};
+export type AccountLimits = {readonly account: string; readonly rate: number; readonly burst: number};
 
 /** Everything recorded in a run, from the callers' side and the stand-ins' side. */
 export type History = {
 	readonly calls: CallRecord[];
 	readonly events: EndpointEvent[];
-	readonly versions: VersionSighting[];
-	readonly accepted: Array<{readonly at: number; readonly version: number}>;
-	readonly withdrawals: Array<{readonly at: number; readonly key: string}>;
-	readonly leavings: Array<{readonly at: number; readonly instance: string}>;
-	readonly limits: LimitRecord[];
+	readonly observedVersions: VersionObservation[];
+	readonly acceptedVersions: Array<{readonly at: number; readonly version: number}>;
+	readonly keyWithdrawals: Array<{readonly at: number; readonly key: string}>;
+	readonly leavingEndpoints: Array<{readonly at: number; readonly instance: string}>;
+	readonly limits: AccountLimits[];
 	/** Time at which a fault hit a group's primary. */
-	readonly failures: Array<{readonly at: number; readonly group: string}>;
+	readonly primaryFailures: Array<{readonly at: number; readonly group: string}>;
 	/** Log lines of the daemons, for finding causes only. */
-	readonly logs: string[];
-	readonly groupOfInstance: Map<string, string>;
+	readonly daemonLogs: string[];
+	readonly groupByInstance: Map<string, string>;
 	/** Log of each group's last primary at the end. */
-	readonly finalLogs: Map<string, readonly LogEntry[]>;
+	readonly finalPrimaryLogs: Map<string, readonly LogEntry[]>;
 };
 
 /** Creates an empty history. */
 export function createHistory(): History {
 	return {
-		calls: [], events: [], versions: [], accepted: [], withdrawals: [], leavings: [], limits: [], failures: [], logs: [], groupOfInstance: new Map(), finalLogs: new Map(),
+		calls: [], events: [], observedVersions: [], acceptedVersions: [], keyWithdrawals: [], leavingEndpoints: [], limits: [], primaryFailures: [], daemonLogs: [], groupByInstance: new Map(), finalPrimaryLogs: new Map(),
 	};
 }
--- a/packages/testkit/src/history/index.ts
+++ b/packages/testkit/src/history/index.ts
@@ -1,4 +1,4 @@
 export * from './history.js';
 export * from './violations.js';
 export * from './check-history.js';
-export * from './figures.js';
+export * from './run-statistics.js';
--- a/packages/testkit/src/history/violations.ts
+++ b/packages/testkit/src/history/violations.ts
@@ -19,4 +19,4 @@
 export type ViolationName = (typeof violationNames)[number];
 
 /** Number of violations of each line. */
-export type Violations = Record<ViolationName, number>;
+export type ViolationCounts = Record<ViolationName, number>;
--- a/packages/testkit/src/load/caller.ts
+++ b/packages/testkit/src/load/caller-client.ts
@@ -2,13 +2,13 @@
 import {type VmProcess} from '../cluster/index.js';
 
 /** Answer of a proxy to one call, or what broke it. */
-export type RawAnswer =
-	| {readonly kind: 'answered'; readonly body: AnswerBody}
+export type CallResult =
+	| {readonly kind: 'answered'; readonly body: ResponseBody}
 	| {readonly kind: 'refused'; readonly refusal: string; readonly ran: string; readonly session: string}
 	| {readonly kind: 'broken'};
 
 /** The fields of answers that callers use. */
-export type AnswerBody = {
+export type ResponseBody = {
 	readonly rows?: ReadonlyArray<{readonly columns: Readonly<Record<string, string>>}>;
 	readonly session?: string;
 	readonly servedBy?: string;
@@ -24,19 +24,19 @@
 	readonly timeoutMs: number;
 };
 
-const service = '/chicorysaddle.caller.v1.DatabaseService';
+const servicePath = '/chicorysaddle.caller.v1.DatabaseService';
 /** Time past its deadline after which a caller gives up on an answer, in milliseconds. */
-const patienceMs = 2000;
+const responseGraceMs = 2000;
 
 /** Calls proxies over HTTP/1.1 with JSON. */
-export class Caller {
+export class CallerClient {
 	readonly #pools = new Map<string, Pool>();
 
-	async call(vm: VmProcess, method: string, body: unknown, options: CallOptions): Promise<RawAnswer> {
+	async sendCall(vm: VmProcess, method: string, body: unknown, options: CallOptions): Promise<CallResult> {
 		try {
 			const response = await this.#getPool(vm).request({
 				method: 'POST',
-				path: `${service}/${method}`,
+				path: `${servicePath}/${method}`,
 				headers: {
 					'content-type': 'application/json',
 					'connect-timeout-ms': String(options.timeoutMs),
@@ -44,18 +44,18 @@
 					...(options.idempotencyKey === undefined ? {} : {'idempotency-key': options.idempotencyKey}),
 				},
 				body: JSON.stringify(body),
-				signal: AbortSignal.timeout(options.timeoutMs + patienceMs),
+				signal: AbortSignal.timeout(options.timeoutMs + responseGraceMs),
 			});
-			const answer: unknown = await response.body.json();
+			const responseBody: unknown = await response.body.json();
 			if (response.statusCode === 200) {
-				return {kind: 'answered', body: answer as AnswerBody};
+				return {kind: 'answered', body: responseBody as ResponseBody};
 			}
 
 			return {
 				kind: 'refused',
 				refusal: String(response.headers['chicorysaddle-refusal'] ?? `status ${response.statusCode}`),
 				ran: String(response.headers['chicorysaddle-ran'] ?? 'unknown'),
-				session: (answer as ErrorBody).details?.[0]?.debug?.session ?? '',
+				session: (responseBody as ErrorBody).details?.[0]?.debug?.session ?? '',
 			};
 		} catch {
 			return {kind: 'broken'};
--- a/packages/testkit/src/load/index.ts
+++ b/packages/testkit/src/load/index.ts
@@ -1,2 +1,2 @@
-export * from './caller.js';
-export * from './load.js';
+export * from './caller-client.js';
+export * from './load-generator.js';
--- a/packages/testkit/src/measure/deployments.ts
+++ b/packages/testkit/src/measure/deployments.ts
@@ -1,4 +1,4 @@
-import {type DeploymentOptions} from '../stand-ins/index.js';
+import {type FakeDeploymentOptions} from '../fakes/index.js';
 import {type AccountLoad} from '../load/index.js';
 
 /** Names of the deployments that are measured. */
@@ -6,10 +6,10 @@
 
 /** Sizes of one deployment. */
 export type DeploymentProfile = {
-	readonly stand: DeploymentOptions;
-	readonly peerDelayMs: number;
-	readonly largeRate: number;
-	readonly smallRate: number;
+	readonly deployment: FakeDeploymentOptions;
+	readonly peerLatencyMs: number;
+	readonly largeAccountRate: number;
+	readonly smallAccountRate: number;
 };
 
 /** Number of VMs of each deployment. */
@@ -18,30 +18,30 @@
 /** The sizes that the users give. */
 export const deployments: Readonly<Record<DeploymentName, DeploymentProfile>> = {
 	humidis: {
-		stand: {
+		deployment: {
 			groups: ['casefile-a', 'casefile-b', 'casefile-c'], zones: ['quimper', 'lorient', 'saint-brieuc'], slots: 5, connections: 30,
-			timing: {serviceMs: 3, openMs: 12, roundTripMs: 2},
+			timing: {minServiceMs: 3, connectMs: 12, roundTripMs: 2},
 		},
-		peerDelayMs: 1, largeRate: 60, smallRate: 12,
+		peerLatencyMs: 1, largeAccountRate: 60, smallAccountRate: 12,
 	},
 	cathair: {
-		stand: {
+		deployment: {
 			groups: ['kiosk-a', 'kiosk-b', 'kiosk-c'], zones: ['ireland-east-1', 'ireland-east-2', 'ireland-east-3'], slots: 2, connections: 30,
-			timing: {serviceMs: 3, openMs: 12, roundTripMs: 3},
+			timing: {minServiceMs: 3, connectMs: 12, roundTripMs: 3},
 		},
-		peerDelayMs: 1.5, largeRate: 40, smallRate: 8,
+		peerLatencyMs: 1.5, largeAccountRate: 40, smallAccountRate: 8,
 	},
 };
 
-const largeAccounts = 3;
+const largeAccountCount = 3;
 const accountCount = 8;
 
 /** Creates the accounts of a deployment, the large ones first. */
-export function createAccounts(profile: DeploymentProfile, offered: number): AccountLoad[] {
+export function createAccounts(profile: DeploymentProfile, offeredLoad: number): AccountLoad[] {
 	return Array.from({length: accountCount}, (_, index) => {
-		const rate = index < largeAccounts ? profile.largeRate : profile.smallRate;
+		const rate = index < largeAccountCount ? profile.largeAccountRate : profile.smallAccountRate;
 		return {
-			name: `account-${index + 1}`, rate, burst: rate, key: `csk_first-${index + 1}`, offered,
+			name: `account-${index + 1}`, rate, burst: rate, key: `csk_first-${index + 1}`, offeredLoad,
 		};
 	});
 }
--- a/packages/testkit/src/measure/main.ts
+++ b/packages/testkit/src/measure/main.ts
@@ -11,16 +11,16 @@
 	readonly deployment: string; readonly scenario: string; readonly seconds: number; readonly seed: number; readonly policy: string; readonly json?: string; readonly offered?: number;
 };
 
-const exitCodes = {violated: 1, badArguments: 2} as const;
+const exitCodes = {violations: 1, badArguments: 2} as const;
 
-function checkName<T extends string>(kind: string, name: string, known: readonly T[]): T {
-	const found = known.find(other => other === name);
-	if (found === undefined) {
-		process.stderr.write(`no ${kind} "${name}"; known: ${known.join(', ')}\n`);
+function parseName<T extends string>(kind: string, name: string, allowedNames: readonly T[]): T {
+	const match = allowedNames.find(other => other === name);
+	if (match === undefined) {
+		process.stderr.write(`no ${kind} "${name}"; known: ${allowedNames.join(', ')}\n`);
 		process.exit(exitCodes.badArguments);
 	}
 
-	return found;
+	return match;
 }
 
 function printMeasurement(measurement: Measurement): void {
@@ -36,25 +36,25 @@
 	].join('\n')}\n`);
 }
 
-async function measure(flags: Flags): Promise<void> {
-	const deployment = checkName('deployment', flags.deployment, Object.keys(deployments) as DeploymentName[]);
-	const scenario = checkName('scenario', flags.scenario, Object.keys(scenarios) as ScenarioName[]);
-	const policies = flags.policy.split(',').map(name => checkName<PolicyName>('policy', name, policyNames));
+async function runMeasurements(flags: Flags): Promise<void> {
+	const deployment = parseName('deployment', flags.deployment, Object.keys(deployments) as DeploymentName[]);
+	const scenario = parseName('scenario', flags.scenario, Object.keys(scenarios) as ScenarioName[]);
+	const policies = flags.policy.split(',').map(name => parseName<PolicyName>('policy', name, policyNames));
 	const measurements: Measurement[] = [];
 	for (const policy of policies) {
 		const {measurement} = await runMeasurement({
-			deployment, scenario, policy, seconds: Number(flags.seconds), seed: Number(flags.seed), offered: flags.offered,
+			deployment, scenario, policy, seconds: Number(flags.seconds), seed: Number(flags.seed), offeredLoad: flags.offered,
 		});
 		printMeasurement(measurement);
 		measurements.push(measurement);
 	}
 
-	const [first, ...others] = measurements;
+	const [first, ...baselines] = measurements;
 	if (flags.json !== undefined) {
-		await writeFile(flags.json, `${JSON.stringify(others.length === 0 ? first : {...first, baselines: others}, undefined, '\t')}\n`);
+		await writeFile(flags.json, `${JSON.stringify(baselines.length === 0 ? first : {...first, baselines}, undefined, '\t')}\n`);
 	}
 
-	process.exit(Object.values(first!.violations).some(times => times > 0) ? exitCodes.violated : 0);
+	process.exit(Object.values(first!.violations).some(times => times > 0) ? exitCodes.violations : 0);
 }
 
 sade('measure', true)
@@ -66,5 +66,5 @@
 	.option('--policy', `Policies to run one after another, with commas between: ${policyNames.join(', ')}`, 'product')
 	.option('--offered', 'Calls offered, as a multiple of each account\'s rate')
 	.option('--json', 'File to write the figures to')
-	.action(measure)
+	.action(runMeasurements)
 	.parse(process.argv);
--- a/packages/testkit/src/measure/run-measurement.ts
+++ b/packages/testkit/src/measure/run-measurement.ts
@@ -1,10 +1,10 @@
 import {type Settings} from '@chicorysaddle/proxy';
 import {Cluster, readCpuMs} from '../cluster/index.js';
 import {
-	checkHistory, createHistory, type Figures, getFigures, type History, type Violations,
+	checkHistory, computeRunStatistics, createHistory, type History, type RunStatistics, type ViolationCounts,
 } from '../history/index.js';
-import {Caller, Load} from '../load/index.js';
-import {SeededRandom} from '../stand-ins/index.js';
+import {CallerClient, LoadGenerator} from '../load/index.js';
+import {SeededRandom} from '../fakes/index.js';
 import {
 	createAccounts, type DeploymentName, deployments, vmCount,
 } from './deployments.js';
@@ -21,12 +21,12 @@
 	readonly seed: number;
 	readonly policy: PolicyName;
 	/** Calls offered, as a multiple of each account's rate; the scenario's own where absent. */
-	readonly offered?: number | undefined;
+	readonly offeredLoad?: number | undefined;
 };
 
 /** What was measured. */
-export type Measurement = Omit<MeasurementOptions, 'offered'> & Figures & {
-	readonly violations: Violations;
+export type Measurement = Omit<MeasurementOptions, 'offeredLoad'> & RunStatistics & {
+	readonly violations: ViolationCounts;
 	/** Share of a core that a VM used, on average. */
 	readonly vmCpuShare: number;
 	/** Operations of all VMs at the platform's table, a second. */
@@ -50,7 +50,8 @@
 export const policyNames = Object.keys(policySettings) as PolicyName[];
 
 const versionPollMs = 500;
-const settleMs = 1500;
+/** Time between the end of the load and the recording of the final logs, in milliseconds. */
+const postLoadSettleMs = 1500;
 /** Time before the load that shares take to settle, in milliseconds. */
 const warmUpMs = 5000;
 
@@ -58,67 +59,67 @@
 export async function runMeasurement(options: MeasurementOptions): Promise<{measurement: Measurement; history: History}> {
 	const profile = deployments[options.deployment];
 	const scenario = scenarios[options.scenario];
-	const accounts = createAccounts(profile, options.offered ?? scenario.offered);
+	const accounts = createAccounts(profile, options.offeredLoad ?? scenario.offeredLoad);
 	const cluster = await Cluster.start({
 		vms: vmCount,
-		deployment: {...profile.stand, seed: options.seed},
+		deployment: {...profile.deployment, seed: options.seed},
 		accounts,
 		policy: policySettings[options.policy],
-		peerDelayMs: profile.peerDelayMs,
-		listLagMs: 2000,
+		peerLatencyMs: profile.peerLatencyMs,
+		vmListLagMs: 2000,
 	});
 	const history = createHistory();
 	history.limits.push(...accounts.map(({name, rate, burst}) => ({account: name, rate, burst})));
-	watchEndpoints(cluster, history);
-	const stopWatching = watchVersions(cluster, history);
-	const caller = new Caller();
-	const load = new Load(cluster, caller, history, accounts, options.seed);
-	await wait(warmUpMs);
+	recordEndpointEvents(cluster, history);
+	const stopVersionRecording = startVersionRecording(cluster, history);
+	const callerClient = new CallerClient();
+	const load = new LoadGenerator(cluster, callerClient, history, accounts, options.seed);
+	await delay(warmUpMs);
 	const cpuBefore = await sumCpuMs(cluster);
-	const storeBefore = {...cluster.deployment.platform.counters};
+	const countersBefore = {...cluster.deployment.platform.counters};
 	load.start();
 	const durationMs = options.seconds * 1000;
-	const world = {
+	const context = {
 		cluster, history, load, durationMs, random: new SeededRandom(options.seed + 1),
 	};
-	await Promise.all([scenario.play(world), wait(durationMs)]);
+	await Promise.all([scenario.run(context), delay(durationMs)]);
 	await load.stop();
 	const cpuShare = (await sumCpuMs(cluster) - cpuBefore) / durationMs / vmCount;
 	const {counters} = cluster.deployment.platform;
-	await wait(settleMs);
-	noteFinalLogs(cluster, history);
-	stopWatching();
-	await caller.close();
+	await delay(postLoadSettleMs);
+	recordFinalLogs(cluster, history);
+	stopVersionRecording();
+	await callerClient.close();
 	for (const vm of cluster.vms) {
-		history.logs.push(...vm.logs);
+		history.daemonLogs.push(...vm.logs);
 	}
 
 	await cluster.stop();
-	const {offered: _offered, ...named} = options;
+	const {offeredLoad: _offered, ...identity} = options;
 	return {
 		history,
 		measurement: {
-			...named,
-			...getFigures(history),
+			...identity,
+			...computeRunStatistics(history),
 			violations: checkHistory(history),
 			vmCpuShare: cpuShare,
-			storeReads: (counters.reads - storeBefore.reads) / options.seconds,
-			storeWrites: (counters.writes - storeBefore.writes) / options.seconds,
+			storeReads: (counters.reads - countersBefore.reads) / options.seconds,
+			storeWrites: (counters.writes - countersBefore.writes) / options.seconds,
 			refusals: countRefusals(history),
 		},
 	};
 }
 
-async function wait(durationMs: number): Promise<void> {
+async function delay(durationMs: number): Promise<void> {
 	return new Promise(resolve => {
 		setTimeout(resolve, durationMs);
 	});
 }
 
-function watchEndpoints(cluster: Cluster, history: History): void {
+function recordEndpointEvents(cluster: Cluster, history: History): void {
 	for (const group of cluster.deployment.groups) {
 		for (const instance of group.instances) {
-			history.groupOfInstance.set(instance.name, group.name);
+			history.groupByInstance.set(instance.name, group.name);
 		}
 	}
 
@@ -129,7 +130,7 @@
 	}
 }
 
-function watchVersions(cluster: Cluster, history: History): () => void {
+function startVersionRecording(cluster: Cluster, history: History): () => void {
 	const timer = setInterval(() => {
 		for (const vm of cluster.vms) {
 			if (vm.state !== 'up') {
@@ -139,8 +140,8 @@
 			const {pid, isReady} = vm;
 			void (async () => {
 				try {
-					const status = await cluster.createOperator(vm).getInForce({version: 0n}, {timeoutMs: versionPollMs});
-					history.versions.push({
+					const status = await cluster.getOperatorClient(vm).getInForce({version: 0n}, {timeoutMs: versionPollMs});
+					history.observedVersions.push({
 						at: performance.now(), vm: vm.name, pid, version: Number(status.ownVersion), isReady,
 					});
 				} catch {
@@ -154,9 +155,9 @@
 	};
 }
 
-function noteFinalLogs(cluster: Cluster, history: History): void {
+function recordFinalLogs(cluster: Cluster, history: History): void {
 	for (const group of cluster.deployment.groups) {
-		history.finalLogs.set(group.name, group.getPrimary().log);
+		history.finalPrimaryLogs.set(group.name, group.getPrimary().log);
 	}
 }
 
--- a/packages/testkit/src/tests/cli/command-line.test.ts
+++ b/packages/testkit/src/tests/cli/command-line.test.ts
@@ -12,9 +12,9 @@
 const cliPath = fileURLToPath(import.meta.resolve('@chicorysaddle/cli').replace(/dist\/index\.js$/v, 'bin/chicorysaddle.js'));
 const examplesPath = fileURLToPath(new URL('../../../../../examples/', import.meta.url));
 
-type Result = {readonly code: number; readonly out: string; readonly err: string};
+type CliResult = {readonly code: number; readonly out: string; readonly err: string};
 
-async function runCli(proxy: string, token: string, ...commandArguments: string[]): Promise<Result> {
+async function runCli(proxy: string, token: string, ...commandArguments: string[]): Promise<CliResult> {
 	return new Promise(resolve => {
 		const child = execFile(process.execPath, [cliPath, ...commandArguments], {env: {...process.env, CHICORYSADDLE_PROXY: proxy, CHICORYSADDLE_TOKEN: token}}, (_error, out, err) => {
 			resolve({code: child.exitCode ?? -1, out, err});
@@ -26,31 +26,31 @@
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
 	const folder = await mkdtemp(path.join(tmpdir(), 'chicorysaddle-sheet-'));
-	const good = path.join(folder, 'good.csv');
-	const bad = path.join(folder, 'bad.csv');
-	await writeFile(good, 'kind,name,account,key,rate,burst\naccount,new,,,5,5\nkey,,new,csk_new-key,,\n');
-	await writeFile(bad, 'kind,name,account,key,rate,burst\naccount,other,,,5,5\naccount,third,,,-5,5\n');
+	const validSheet = path.join(folder, 'good.csv');
+	const invalidSheet = path.join(folder, 'bad.csv');
+	await writeFile(validSheet, 'kind,name,account,key,rate,burst\naccount,new,,,5,5\nkey,,new,csk_new-key,,\n');
+	await writeFile(invalidSheet, 'kind,name,account,key,rate,burst\naccount,other,,,5,5\naccount,third,,,-5,5\n');
 	const proxy = `127.0.0.1:${local.proxies[0]!.operatorPort}`;
 	const run = async (...commandArguments: string[]) => runCli(proxy, local.operatorToken, ...commandArguments);
 
-	const refused = await run('sheet', 'apply', bad);
+	const refused = await run('sheet', 'apply', invalidSheet);
 	t.is(refused.code, 1);
-	t.true(refused.err.includes(`${bad}:3:5: "-5" is not a number above zero`), refused.err);
-	const planned = await run('sheet', 'plan', good, '--json');
+	t.true(refused.err.includes(`${invalidSheet}:3:5: "-5" is not a number above zero`), refused.err);
+	const planned = await run('sheet', 'plan', validSheet, '--json');
 	t.is((JSON.parse(planned.out) as {changes: unknown[]}).changes.length, 2);
-	const applied = await run('sheet', 'apply', good, '--json');
+	const applied = await run('sheet', 'apply', validSheet, '--json');
 	t.is(applied.code, 0, applied.err);
 	const {result, version, vms} = JSON.parse(applied.out) as {result: string; version: number; vms: string[]};
 	t.deepEqual([result, vms.length], ['in-force', 2]);
-	const again = JSON.parse((await run('sheet', 'apply', good, '--json')).out) as {result: string; version: number};
+	const again = JSON.parse((await run('sheet', 'apply', validSheet, '--json')).out) as {result: string; version: number};
 	t.deepEqual(again, {changes: 0, result: 'unchanged', version} as never);
 	const shown = await run('config', 'show');
 	t.false(shown.out.includes('other'));
 	t.false(shown.out.includes('csk_new-key'));
 	t.is((await runCli(proxy, 'wrong', 'config', 'show')).code, 5);
 
-	const given = await run('key', 'give', 'new', '--json');
-	const {key} = JSON.parse(given.out) as {key: string};
+	const created = await run('key', 'give', 'new', '--json');
+	const {key} = JSON.parse(created.out) as {key: string};
 	t.is((await run('key', 'withdraw', key)).code, 0);
 	t.is((await run('key', 'withdraw', key)).code, 1);
 	t.is((await run('account', 'create', 'new', '--rate', '1', '--burst', '1')).code, 1);
--- a/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
+++ b/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
@@ -2,35 +2,35 @@
 import test from 'ava';
 import {ExecuteRequestSchema} from '@chicorysaddle/protocol';
 import {HttpEndpointConnection} from '@chicorysaddle/proxy';
-import {createDeployment} from '../../stand-ins/index.js';
+import {createFakeDeployment} from '../../fakes/index.js';
 
 const write = create(ExecuteRequestSchema, {
 	requestId: 'r', statement: 'put', parameters: {key: 'k', value: 'v'}, write: true, term: 1n,
 });
 
-async function getStage(answer: ReturnType<HttpEndpointConnection['execute']>): Promise<string> {
+async function getResultStage(answer: ReturnType<HttpEndpointConnection['execute']>): Promise<string> {
 	const result = await answer;
 	return result.caseOf({Left: ({stage}): string => stage, Right: () => 'answered'});
 }
 
 test('a request counts as unsent only when its connection was never established', async t => {
-	const deployment = await createDeployment({
+	const deployment = await createFakeDeployment({
 		groups: ['g'], zones: ['z'], slots: 1, connections: 3,
 	});
 	t.teardown(deployment.stop);
 	const [server] = deployment.servers;
-	const connect = () => new HttpEndpointConnection(server!.address, {connectTimeoutMs: 500});
-	const connection = connect();
-	t.is(await getStage(connection.execute(write, {timeoutMs: 1000})), 'answered');
+	const createConnection = () => new HttpEndpointConnection(server!.address, {connectTimeoutMs: 500});
+	const connection = createConnection();
+	t.is(await getResultStage(connection.execute(write, {timeoutMs: 1000})), 'answered');
 
 	server!.instance.health = 'hung';
-	t.is(await getStage(connection.execute(write, {timeoutMs: 30})), 'unanswered', 'given up on while it may be running');
+	t.is(await getResultStage(connection.execute(write, {timeoutMs: 30})), 'unanswered', 'given up on while it may be running');
 	t.is(connection.disconnectCount, 1);
 	const running = connection.execute(write, {timeoutMs: 1000});
 	connection.close();
-	t.is(await getStage(running), 'unanswered', 'closed while it may be running');
-	t.is(await getStage(connection.execute(write, {timeoutMs: 1000})), 'unsent', 'closed before');
+	t.is(await getResultStage(running), 'unanswered', 'closed while it may be running');
+	t.is(await getResultStage(connection.execute(write, {timeoutMs: 1000})), 'unsent', 'closed before');
 
 	server!.stop();
-	t.is(await getStage(connect().execute(write, {timeoutMs: 1000})), 'unsent', 'refused');
+	t.is(await getResultStage(createConnection().execute(write, {timeoutMs: 1000})), 'unsent', 'refused');
 });
--- a/packages/testkit/src/tests/faults/transactions.test.ts
+++ b/packages/testkit/src/tests/faults/transactions.test.ts
@@ -5,10 +5,10 @@
 import {hashKey} from '@chicorysaddle/proxy';
 import {createOperatorClient} from '@chicorysaddle/cli';
 import {
-	askUntilServed, startLocalProxies, testKey, waitFor,
+	retryUntilServed, startLocalProxies, testKey, waitFor,
 } from '../local-proxies.js';
 
-async function getKind(call: Promise<unknown>): Promise<string> {
+async function getRefusalKind(call: Promise<unknown>): Promise<string> {
 	try {
 		await call;
 	} catch (error) {
@@ -18,23 +18,23 @@
 	return 'answered';
 }
 
-function write(transaction: string, value: string) {
+function createWrite(transaction: string, value: string) {
 	return {transaction, route: 'orders.file', parameters: {key: 'k', value, tag: value}};
 }
 
 test('a transaction is served through any proxy, seen by nobody before its commit, and read back after it', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
-	const [near, far] = [local.createCaller(0), local.createCaller(1)];
-	const {transaction} = await askUntilServed(async () => near.begin({group: 'orders'}));
-	await far.runInTransaction(write(transaction, 'one'));
-	await near.runInTransaction(write(transaction, 'two'));
+	const [near, far] = [local.createCallerClient(0), local.createCallerClient(1)];
+	const {transaction} = await retryUntilServed(async () => near.begin({group: 'orders'}));
+	await far.runInTransaction(createWrite(transaction, 'one'));
+	await near.runInTransaction(createWrite(transaction, 'two'));
 	const before = await far.run({route: 'orders.get', parameters: {key: 'k'}});
 	t.is(before.rows[0]?.columns.value, '');
 	const {session} = await far.commit({transaction});
 	const after = await near.run({route: 'orders.get', parameters: {key: 'k'}, session});
 	t.is(after.rows[0]?.columns.value, 'one,two');
-	t.is(await getKind(near.commit({transaction})), 'transaction-not-found');
+	t.is(await getRefusalKind(near.commit({transaction})), 'transaction-not-found');
 });
 
 test('transactions belong to their account, and rolling back leaves nothing', async t => {
@@ -45,56 +45,56 @@
 	}];
 	const local = await startLocalProxies({vms: 1, accounts});
 	t.teardown(local.stop);
-	const [own, other] = [local.createCaller(0, 'csk_a'), local.createCaller(0, 'csk_b')];
-	const {transaction} = await askUntilServed(async () => own.begin({group: 'orders'}));
-	t.is(await getKind(other.runInTransaction(write(transaction, 'theirs'))), 'forbidden');
-	t.is(await getKind(other.commit({transaction})), 'forbidden');
-	await own.runInTransaction(write(transaction, 'mine'));
+	const [own, other] = [local.createCallerClient(0, 'csk_a'), local.createCallerClient(0, 'csk_b')];
+	const {transaction} = await retryUntilServed(async () => own.begin({group: 'orders'}));
+	t.is(await getRefusalKind(other.runInTransaction(createWrite(transaction, 'theirs'))), 'forbidden');
+	t.is(await getRefusalKind(other.commit({transaction})), 'forbidden');
+	await own.runInTransaction(createWrite(transaction, 'mine'));
 	await own.rollBack({transaction});
-	const second = await askUntilServed(async () => other.begin({group: 'orders'}));
+	const second = await retryUntilServed(async () => other.begin({group: 'orders'}));
 	await other.commit({transaction: second.transaction});
-	t.is(local.deployment.groups[0]!.getPrimary().readValue('k'), '');
+	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
 });
 
 test('a transaction on a primary that dies is lost, and says so', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
-	const caller = local.createCaller(0);
-	const {transaction} = await askUntilServed(async () => caller.begin({group: 'orders'}));
-	await caller.runInTransaction(write(transaction, 'one'));
+	const caller = local.createCallerClient(0);
+	const {transaction} = await retryUntilServed(async () => caller.begin({group: 'orders'}));
+	await caller.runInTransaction(createWrite(transaction, 'one'));
 	local.deployment.servers.find(({instance}) => instance.isPrimary)!.stop();
-	t.is(await getKind(caller.commit({transaction})), 'transaction-lost');
+	t.is(await getRefusalKind(caller.commit({transaction})), 'transaction-lost');
 	await waitFor(() => local.deployment.groups[0]!.getPrimary().term > 1);
-	t.is(local.deployment.groups[0]!.getPrimary().readValue('k'), '');
+	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
 });
 
 test('a proxy that dies in the middle of a transaction rolls it back at the endpoint', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
-	const {transaction} = await askUntilServed(async () => local.createCaller(0).begin({group: 'orders'}));
-	await local.createCaller(0).runInTransaction(write(transaction, 'one'));
+	const {transaction} = await retryUntilServed(async () => local.createCallerClient(0).begin({group: 'orders'}));
+	await local.createCallerClient(0).runInTransaction(createWrite(transaction, 'one'));
 	await local.proxies[0]!.close();
-	t.is(await getKind(local.createCaller(1).commit({transaction}, {headers: {'connect-timeout-ms': '2000'}})), 'outcome-unknown');
-	t.is(local.deployment.groups[0]!.getPrimary().readValue('k'), '');
+	t.is(await getRefusalKind(local.createCallerClient(1).commit({transaction}, {headers: {'connect-timeout-ms': '2000'}})), 'outcome-unknown');
+	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
 });
 
 test('a transaction that idles too long is rolled back', async t => {
 	const local = await startLocalProxies({vms: 1, timeouts: {transaction_idle_ms: 50}});
 	t.teardown(local.stop);
-	const caller = local.createCaller(0);
-	const {transaction} = await askUntilServed(async () => caller.begin({group: 'orders'}));
+	const caller = local.createCallerClient(0);
+	const {transaction} = await retryUntilServed(async () => caller.begin({group: 'orders'}));
 	const operator = createOperatorClient({proxy: `127.0.0.1:${local.proxies[0]!.operatorPort}`, token: local.operatorToken});
 	await waitFor(async () => (await operator.getStatus({})).counters['transactions.open'] === 0);
-	t.is(await getKind(caller.commit({transaction})), 'transaction-not-found');
-	t.is(local.deployment.groups[0]!.getPrimary().readValue('k'), '');
+	t.is(await getRefusalKind(caller.commit({transaction})), 'transaction-not-found');
+	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
 });
 
 test('a withdrawn key stops at every proxy, in open transactions too, and others go on', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
-	const caller = local.createCaller(0);
-	const {transaction} = await askUntilServed(async () => caller.begin({group: 'orders'}));
-	await caller.runInTransaction(write(transaction, 'one'));
+	const caller = local.createCallerClient(0);
+	const {transaction} = await retryUntilServed(async () => caller.begin({group: 'orders'}));
+	await caller.runInTransaction(createWrite(transaction, 'one'));
 	const operator = createOperatorClient({proxy: `127.0.0.1:${local.proxies[1]!.operatorPort}`, token: local.operatorToken});
 	const {version} = await operator.getConfiguration({});
 	const row = formatRow('key', hashKey(testKey), undefined);
@@ -103,12 +103,12 @@
 	});
 	t.is(applied.result, 'accepted');
 	for (const index of [0, 1]) {
-		t.is(await getKind(local.createCaller(index).run({route: 'orders.get', parameters: {key: 'k'}})), 'unauthenticated');
+		t.is(await getRefusalKind(local.createCallerClient(index).run({route: 'orders.get', parameters: {key: 'k'}})), 'unauthenticated');
 	}
 
-	t.is(await getKind(caller.commit({transaction})), 'unauthenticated');
-	t.is(local.deployment.groups[0]!.getPrimary().readValue('k'), '');
-	t.is(await getKind(local.createCaller(0, '').run({route: 'orders.status', parameters: {key: 'k'}})), 'answered');
+	t.is(await getRefusalKind(caller.commit({transaction})), 'unauthenticated');
+	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
+	t.is(await getRefusalKind(local.createCallerClient(0, '').run({route: 'orders.status', parameters: {key: 'k'}})), 'answered');
 	const repeated = await operator.applyChange({
 		expectedVersion: version, author: 'test', summary: 'withdraw', writeId: 'w1', rows: [{key: row.key}],
 	});
--- a/packages/testkit/src/tests/faults/writes.test.ts
+++ b/packages/testkit/src/tests/faults/writes.test.ts
@@ -1,11 +1,11 @@
 import {ConnectError} from '@connectrpc/connect';
 import test from 'ava';
 import {RefusalDetailSchema} from '@chicorysaddle/protocol';
-import {askUntilServed, startLocalProxies, waitFor} from '../local-proxies.js';
+import {retryUntilServed, startLocalProxies, waitFor} from '../local-proxies.js';
 
-type Refused = {readonly kind: string; readonly ran: string; readonly session: string};
+type RefusalSummary = {readonly kind: string; readonly ran: string; readonly session: string};
 
-async function getRefusal(call: Promise<unknown>): Promise<Refused> {
+async function getRefusal(call: Promise<unknown>): Promise<RefusalSummary> {
 	try {
 		await call;
 	} catch (error) {
@@ -17,7 +17,7 @@
 }
 
 /** The proxy is told the deadline; the client itself waits for as long as it takes. */
-function keyed(idempotencyKey: string, timeoutMs = 5000) {
+function createCallOptions(idempotencyKey: string, timeoutMs = 5000) {
 	return {headers: {'idempotency-key': idempotencyKey, 'connect-timeout-ms': String(timeoutMs)}};
 }
 
@@ -25,36 +25,36 @@
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const [group] = local.deployment.groups;
-	// A process that had no processor for a while has to confirm its primary first.
-	await askUntilServed(async () => local.createCaller(0).run({route: 'orders.get', parameters: {key: 'k'}}));
+	// A process that was paused, as on a loaded machine, must confirm the primary before it serves writes.
+	await retryUntilServed(async () => local.createCallerClient(0).run({route: 'orders.get', parameters: {key: 'k'}}));
 	const primary = group!.getPrimary();
-	primary.isCutOff = true;
+	primary.isIsolated = true;
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const cut = await getRefusal(local.createCaller(0).run(file, keyed('one', 500)));
+	const cut = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one', 500)));
 	t.deepEqual([cut.kind, cut.ran], ['deadline-unknown', 'unknown']);
 	t.is(primary.log.length, 1);
 
 	await waitFor(() => group!.getPrimary() !== primary);
-	const answer = await local.createCaller(0).run(file, keyed('one'));
+	const answer = await local.createCallerClient(0).run(file, createCallOptions('one'));
 	t.is(answer.servedBy, 'primary');
-	t.is(group!.getPrimary().readValue('k'), 'v');
-	primary.isCutOff = false;
+	t.is(group!.getPrimary().getValue('k'), 'v');
+	primary.isIsolated = false;
 	await waitFor(() => !primary.isPrimary && primary.position.term === group!.getPrimary().term);
-	t.is(primary.readValue('k'), 'v', 'the write of the former primary, never acknowledged, is gone');
+	t.is(primary.getValue('k'), 'v', 'the write of the former primary, never acknowledged, is gone');
 });
 
 test('a write whose answer is lost runs once, also when it is asked for again at another proxy', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
 	const server = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
-	server.loseNextAnswer = true;
+	server.isNextResponseLost = true;
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const first = await local.createCaller(0).run(file, keyed('one'));
+	const first = await local.createCallerClient(0).run(file, createCallOptions('one'));
 	t.true(first.replayed, 'the proxy itself asked again and got the recorded answer');
-	const again = await local.createCaller(1).run(file, keyed('one'));
+	const again = await local.createCallerClient(1).run(file, createCallOptions('one'));
 	t.true(again.replayed);
-	t.is(server.instance.readValue('k'), 'v');
-	const other = await getRefusal(local.createCaller(1).run({...file, parameters: {key: 'k', value: 'w', tag: 'w'}}, keyed('one')));
+	t.is(server.instance.getValue('k'), 'v');
+	const other = await getRefusal(local.createCallerClient(1).run({...file, parameters: {key: 'k', value: 'w', tag: 'w'}}, createCallOptions('one')));
 	t.deepEqual([other.kind, other.ran], ['request-mismatch', 'no']);
 });
 
@@ -62,15 +62,15 @@
 	const local = await startLocalProxies({vms: 2, recordsRequestIds: false});
 	t.teardown(local.stop);
 	const server = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
-	server.loseNextAnswer = true;
+	server.isNextResponseLost = true;
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const lost = await getRefusal(local.createCaller(0).run(file, keyed('one')));
+	const lost = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one')));
 	t.deepEqual([lost.kind, lost.ran], ['outcome-unknown', 'unknown']);
 	t.not(lost.session, '', 'the session learns that the group has to be read at its primary');
-	const again = await getRefusal(local.createCaller(1).run(file, keyed('one')));
+	const again = await getRefusal(local.createCallerClient(1).run(file, createCallOptions('one')));
 	t.deepEqual([again.kind, again.ran], ['outcome-unknown', 'unknown']);
-	t.is(server.instance.readValue('k'), 'v');
-	const read = await local.createCaller(1).run({route: 'orders.get', parameters: {key: 'k'}, session: lost.session});
+	t.is(server.instance.getValue('k'), 'v');
+	const read = await local.createCallerClient(1).run({route: 'orders.get', parameters: {key: 'k'}, session: lost.session});
 	t.deepEqual([read.servedBy, read.rows[0]?.columns.value], ['primary', 'v']);
 });
 
@@ -80,10 +80,10 @@
 	const [first, second] = local.deployment.servers.filter(({instance}) => !instance.isPrimary);
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
 	first!.stop();
-	await local.createCaller(0).run(file, keyed('one'));
+	await local.createCallerClient(0).run(file, createCallOptions('one'));
 	second!.stop();
-	await waitFor(async () => (await getRefusal(local.createCaller(0).run(file, keyed('two', 300)))).ran === 'no');
-	const refused = await getRefusal(local.createCaller(0).run(file, keyed('three', 300)));
+	await waitFor(async () => (await getRefusal(local.createCallerClient(0).run(file, createCallOptions('two', 300)))).ran === 'no');
+	const refused = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('three', 300)));
 	t.deepEqual([refused.kind, refused.ran], ['no-primary', 'no']);
 	const primary = local.deployment.groups[0]!.getPrimary();
 	t.false(primary.log.some(entry => entry.operations.some(({value}) => value === 'three')));
--- a/packages/testkit/src/tests/golden/golden-sessions.test.ts
+++ b/packages/testkit/src/tests/golden/golden-sessions.test.ts
@@ -3,17 +3,17 @@
 import test from 'ava';
 import {type LocalProxies, startLocalProxies, testKey} from '../local-proxies.js';
 
-type Step = {readonly proxy: number; readonly method: string; readonly body: Record<string, unknown>; readonly headers?: Record<string, string>};
+type SessionStep = {readonly proxy: number; readonly method: string; readonly body: Record<string, unknown>; readonly headers?: Record<string, string>};
 
-const folder = new URL('../../../golden/', import.meta.url);
-const service = 'chicorysaddle.caller.v1.DatabaseService';
+const goldenFolder = new URL('../../../golden/', import.meta.url);
+const serviceName = 'chicorysaddle.caller.v1.DatabaseService';
 
 /** Replaces what differs from run to run, and names what stays the same within one. */
 class Transcript {
 	readonly #lines: string[] = [];
 	readonly #names = new Map<string, string>();
 
-	add(direction: string, text: string): void {
+	addLine(direction: string, text: string): void {
 		// Which instance serves a read depends on what is known at that moment.
 		let line = text.replaceAll(/(?<rows>"rows":.*)"servedBy":.*\}$/gv, '$<rows>"servedBy":"#"}');
 		for (const [value, name] of this.#names) {
@@ -23,41 +23,41 @@
 		this.#lines.push(`${direction} ${line}`);
 	}
 
-	learn(value: unknown, kind: string): void {
+	addPlaceholder(value: unknown, kind: string): void {
 		if (typeof value === 'string' && value !== '' && !this.#names.has(value)) {
 			this.#names.set(value, `<${kind} ${[...this.#names.values()].filter(name => name.startsWith(`<${kind}`)).length + 1}>`);
 		}
 	}
 
-	formatText(): string {
+	format(): string {
 		return `${this.#lines.join('\n')}\n`;
 	}
 }
 
 /** Plays the steps of a session, each with the newest token, as a caller with curl would. */
-async function playSession(local: LocalProxies, steps: readonly Step[]): Promise<string> {
+async function runSession(local: LocalProxies, steps: readonly SessionStep[]): Promise<string> {
 	const transcript = new Transcript();
 	let session = '';
 	let transaction = '';
 	for (const {proxy, method, body, headers = {}} of steps) {
-		const filled = {...body, ...(body.session === '' ? {session} : {}), ...('transaction' in body ? {transaction} : {})};
-		const response = await fetch(`http://127.0.0.1:${local.proxies[proxy]!.callerPort}/${service}/${method}`, {
-			method: 'POST', headers: {'content-type': 'application/json', authorization: `Bearer ${testKey}`, ...headers}, body: JSON.stringify(filled),
+		const requestBody = {...body, ...(body.session === '' ? {session} : {}), ...('transaction' in body ? {transaction} : {})};
+		const response = await fetch(`http://127.0.0.1:${local.proxies[proxy]!.callerPort}/${serviceName}/${method}`, {
+			method: 'POST', headers: {'content-type': 'application/json', authorization: `Bearer ${testKey}`, ...headers}, body: JSON.stringify(requestBody),
 		});
 		const answer = await response.json() as {session?: string; transaction?: string; code?: string; message?: string};
-		transcript.learn(answer.session, 'session');
-		transcript.learn(answer.transaction, 'transaction');
+		transcript.addPlaceholder(answer.session, 'session');
+		transcript.addPlaceholder(answer.transaction, 'transaction');
 		session = answer.session ?? session;
 		transaction = answer.transaction ?? transaction;
-		transcript.add('>', `proxy ${proxy + 1} ${method} ${JSON.stringify(filled)}`);
+		transcript.addLine('>', `proxy ${proxy + 1} ${method} ${JSON.stringify(requestBody)}`);
 		const refusal = `${answer.code}: ${answer.message} (${response.headers.get('chicorysaddle-refusal')}, ran ${response.headers.get('chicorysaddle-ran')}, retry after ${response.headers.get('retry-after')} s)`;
-		transcript.add('<', `${response.status} ${response.ok ? JSON.stringify(answer) : refusal}`);
+		transcript.addLine('<', `${response.status} ${response.ok ? JSON.stringify(answer) : refusal}`);
 	}
 
-	return transcript.formatText();
+	return transcript.format();
 }
 
-const sessions: Readonly<Record<string, readonly Step[]>> = {
+const sessions: Readonly<Record<string, readonly SessionStep[]>> = {
 	'humidis-filing': [
 		{proxy: 0, method: 'Run', body: {route: 'orders.get', parameters: {key: 'house-7'}}},
 		{
@@ -92,37 +92,37 @@
 	],
 };
 
-async function checkGolden(name: string, text: string): Promise<string> {
-	const file = new URL(`${name}.txt`, folder);
+async function readGoldenFile(name: string, text: string): Promise<string> {
+	const createWriteStep = new URL(`${name}.txt`, goldenFolder);
 	if (process.env.UPDATE_GOLDEN === '1') {
-		await mkdir(folder, {recursive: true});
-		await writeFile(file, text);
+		await mkdir(goldenFolder, {recursive: true});
+		await writeFile(createWriteStep, text);
 	}
 
-	return readFile(file, 'utf8');
+	return readFile(createWriteStep, 'utf8');
 }
 
 for (const [name, steps] of Object.entries(sessions)) {
 	test(`the session "${name}" goes as its golden file says`, async t => {
 		const local = await startLocalProxies({vms: 2});
 		t.teardown(local.stop);
-		const text = await playSession(local, steps);
-		t.is(text, await checkGolden(name, text));
+		const text = await runSession(local, steps);
+		t.is(text, await readGoldenFile(name, text));
 	});
 }
 
 test('a failover and a lost answer go as their golden file says', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
-	const file = (value: string): Step => ({
+	const file = (value: string): SessionStep => ({
 		proxy: 0, method: 'Run', body: {route: 'orders.file', parameters: {key: 'k', value}, session: ''}, headers: {'idempotency-key': value},
 	});
 	const primary = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
-	const before = await playSession(local, [file('one')]);
-	primary.loseNextAnswer = true;
-	const lost = await playSession(local, [file('two'), file('two')]);
+	const before = await runSession(local, [file('one')]);
+	primary.isNextResponseLost = true;
+	const lost = await runSession(local, [file('two'), file('two')]);
 	primary.stop();
-	const after = await playSession(local, [file('two'), file('three'), {proxy: 0, method: 'Run', body: {route: 'orders.get', parameters: {key: 'k'}, session: ''}}]);
+	const after = await runSession(local, [file('two'), file('three'), {proxy: 0, method: 'Run', body: {route: 'orders.get', parameters: {key: 'k'}, session: ''}}]);
 	const text = `${before}-- the next answer is lost\n${lost}-- the primary dies\n${after}`;
-	t.is(text, await checkGolden('failover', text));
+	t.is(text, await readGoldenFile('failover', text));
 });
--- a/packages/testkit/src/tests/local-proxies.ts
+++ b/packages/testkit/src/tests/local-proxies.ts
@@ -2,24 +2,24 @@
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {DatabaseService, RefusalDetailSchema} from '@chicorysaddle/protocol';
 import {hashKey, Proxy, settingsSchema} from '@chicorysaddle/proxy';
-import {type AccountStructure, bootstrapConfiguration} from '../embedded/bootstrap.js';
-import {createDeployment, type Deployment} from '../stand-ins/index.js';
+import {bootstrapConfiguration, type InitialAccount} from '../embedded/bootstrap.js';
+import {createFakeDeployment, type FakeDeployment} from '../fakes/index.js';
 
 /** What a few proxies in this process are started with. */
 export type LocalProxiesOptions = {
 	readonly vms: number;
-	readonly accounts?: readonly AccountStructure[];
+	readonly accounts?: readonly InitialAccount[];
 	readonly recordsRequestIds?: boolean;
 	readonly timeouts?: Readonly<Record<string, number>>;
 };
 
 /** A few proxies in this process, before stand-ins. */
 export type LocalProxies = {
-	readonly deployment: Deployment;
+	readonly deployment: FakeDeployment;
 	readonly proxies: Proxy[];
 	readonly operatorToken: string;
 	/** Returns a client of a proxy's caller port that shows a key. */
-	createCaller(index: number, key?: string): Client<typeof DatabaseService>;
+	createCallerClient(index: number, key?: string): Client<typeof DatabaseService>;
 	readonly stop: () => Promise<void>;
 };
 
@@ -28,10 +28,10 @@
 const operatorToken = 'operator-token';
 
 /** Waits until a condition holds. */
-export async function waitFor(isTrue: () => boolean | Promise<boolean>, limitMs = 20_000): Promise<void> {
-	const until = performance.now() + limitMs;
-	while (!await isTrue()) {
-		if (performance.now() > until) {
+export async function waitFor(isMet: () => boolean | Promise<boolean>, timeoutMs = 20_000): Promise<void> {
+	const deadline = performance.now() + timeoutMs;
+	while (!await isMet()) {
+		if (performance.now() > deadline) {
 			throw new Error('the condition did not come to hold');
 		}
 
@@ -42,14 +42,14 @@
 }
 
 /** Asks as a caller has to: a refusal that says that nothing ran, for want of a primary, is worth asking again. */
-export async function askUntilServed<Answer>(ask: () => Promise<Answer>, limitMs = 20_000): Promise<Answer> {
-	const until = performance.now() + limitMs;
+export async function retryUntilServed<Answer>(send: () => Promise<Answer>, timeoutMs = 20_000): Promise<Answer> {
+	const deadline = performance.now() + timeoutMs;
 	for (;;) {
 		try {
-			return await ask();
+			return await send();
 		} catch (error) {
 			const [detail] = ConnectError.from(error).findDetails(RefusalDetailSchema);
-			if (detail?.kind !== 'no-primary' || detail.ran !== 'no' || performance.now() > until) {
+			if (detail?.kind !== 'no-primary' || detail.ran !== 'no' || performance.now() > deadline) {
 				throw error;
 			}
 
@@ -63,7 +63,7 @@
 /** Starts proxies and waits until they are ready. */
 export async function startLocalProxies(options: LocalProxiesOptions): Promise<LocalProxies> {
 	const zones = ['zone-1', 'zone-2', 'zone-3'];
-	const deployment = await createDeployment({
+	const deployment = await createFakeDeployment({
 		groups: ['orders'], zones, slots: 5, connections: 30,
 	});
 	const names = Array.from({length: options.vms}, (_, index) => `vm-${index + 1}`);
@@ -93,7 +93,7 @@
 	await waitFor(() => proxies.every(proxy => proxy.isReady()));
 	return {
 		deployment, proxies, operatorToken,
-		createCaller: (index, key = testKey) => createClient(DatabaseService, createConnectTransport({
+		createCallerClient: (index, key = testKey) => createClient(DatabaseService, createConnectTransport({
 			baseUrl: `http://127.0.0.1:${proxies[index]!.callerPort}`,
 			httpVersion: '1.1',
 			interceptors: [next => async request => {
--- a/packages/testkit/src/tests/server/hostile-callers.test.ts
+++ b/packages/testkit/src/tests/server/hostile-callers.test.ts
@@ -5,14 +5,14 @@
 
 const path = '/chicorysaddle.caller.v1.DatabaseService/Run';
 
-async function post(local: LocalProxies, body: string, headers: Record<string, string> = {}): Promise<{status: number; text: string}> {
+async function sendRequest(local: LocalProxies, body: string, headers: Record<string, string> = {}): Promise<{status: number; text: string}> {
 	const response = await fetch(`http://127.0.0.1:${local.proxies[0]!.callerPort}${path}`, {
 		method: 'POST', body, headers: {'content-type': 'application/json', authorization: `Bearer ${testKey}`, ...headers},
 	});
 	return {status: response.status, text: await response.text()};
 }
 
-async function sendRaw(local: LocalProxies, text: string, isEnded: boolean): Promise<string> {
+async function sendRaw(local: LocalProxies, text: string, endsEarly: boolean): Promise<string> {
 	const socket = connect(local.proxies[0]!.callerPort, '127.0.0.1');
 	const chunks: string[] = [];
 	socket.on('data', chunk => {
@@ -20,7 +20,7 @@
 	});
 	socket.on('error', () => undefined);
 	socket.write(text);
-	if (isEnded) {
+	if (endsEarly) {
 		socket.end();
 	}
 
@@ -31,23 +31,23 @@
 test('malformed requests, large bodies, bad tokens and broken sockets are refused, and the proxy goes on', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
-	const good = JSON.stringify({route: 'orders.get', parameters: {key: 'k'}});
-	t.is((await post(local, '{')).status, 400);
-	t.is((await post(local, '{"route": 7}')).status, 400);
-	t.is((await post(local, JSON.stringify({route: 'orders.get', parameters: {key: 'x'.repeat(2_000_000)}}))).status, 429);
-	t.is((await post(local, good, {'connect-timeout-ms': 'soon'})).status, 400);
-	t.is((await post(local, good, {'idempotency-key': 'k'.repeat(201)})).status, 400);
-	const answer = JSON.parse((await post(local, good)).text) as {session: string};
+	const validBody = JSON.stringify({route: 'orders.get', parameters: {key: 'k'}});
+	t.is((await sendRequest(local, '{')).status, 400);
+	t.is((await sendRequest(local, '{"route": 7}')).status, 400);
+	t.is((await sendRequest(local, JSON.stringify({route: 'orders.get', parameters: {key: 'x'.repeat(2_000_000)}}))).status, 429);
+	t.is((await sendRequest(local, validBody, {'connect-timeout-ms': 'soon'})).status, 400);
+	t.is((await sendRequest(local, validBody, {'idempotency-key': 'k'.repeat(201)})).status, 400);
+	const answer = JSON.parse((await sendRequest(local, validBody)).text) as {session: string};
 	// A forged token differs from the genuine one whatever that begins with.
-	const forged = `${answer.session.startsWith('A') ? 'B' : 'A'}${answer.session.slice(1)}`;
-	for (const session of [answer.session.slice(0, -3), forged, 'x', 'x'.repeat(9000)]) {
-		const refused = await post(local, JSON.stringify({route: 'orders.get', parameters: {key: 'k'}, session}));
+	const forgedToken = `${answer.session.startsWith('A') ? 'B' : 'A'}${answer.session.slice(1)}`;
+	for (const session of [answer.session.slice(0, -3), forgedToken, 'x', 'x'.repeat(9000)]) {
+		const refused = await sendRequest(local, JSON.stringify({route: 'orders.get', parameters: {key: 'k'}, session}));
 		t.is(refused.status, 400, session);
 	}
 
 	t.regex(await sendRaw(local, 'NONSENSE\r\n\r\n', false), /^HTTP\/1\.1 400/v);
 	await sendRaw(local, `POST ${path} HTTP/1.1\r\nhost: x\r\ncontent-type: application/json\r\ncontent-length: 100\r\n\r\n{"route"`, true);
-	t.is((await post(local, good)).status, 200);
+	t.is((await sendRequest(local, validBody)).status, 200);
 	const metrics = await fetch(`http://127.0.0.1:${local.proxies[0]!.operatorPort}/metrics`);
 	t.regex(await metrics.text(), /chicorysaddle_refused_kind_session_invalid 4\n/v);
 });
