--- a/packages/testkit/src/bench/bare-server.ts
+++ b/packages/testkit/src/bench/bare-server.ts
@@ -4,7 +4,7 @@
 import {connectNodeAdapter} from '@connectrpc/connect-node';
 import {DatabaseService} from '@chicorysaddle/protocol';
 
-/** A connect server that answers at once, to compare with. */
+/** Connect server that responds immediately, as a baseline for the proxy. */
 const server = createServer(connectNodeAdapter({
 	routes(router) {
 		router.service(DatabaseService, {
--- a/packages/testkit/src/bench/fake-servers.ts
+++ b/packages/testkit/src/bench/fake-servers.ts
@@ -2,7 +2,7 @@
 import {bootstrapConfiguration} from '../embedded/bootstrap.js';
 import {createFakeDeployment} from '../fakes/index.js';
 
-/** Runs a platform and one group whose instances answer at once. */
+/** Fake platform and one fake group whose instances respond without delay. */
 const deployment = await createFakeDeployment({
 	groups: ['bench'], zones: ['z'], slots: 64, connections: 66, timing: {minServiceMs: 0, connectMs: 0, roundTripMs: 0},
 });
--- a/packages/testkit/src/bench/main.ts
+++ b/packages/testkit/src/bench/main.ts
@@ -32,7 +32,7 @@
 	const result = await autocannon({...options, duration: measuredSeconds});
 	const cpuSeconds = (await readCpuMs(pid) - before) / 1000;
 	if (result.non2xx > 0 || result.errors > 0) {
-		throw new Error(`${result.non2xx} refused, ${result.errors} broken`);
+		throw new Error(`load run failed: ${result.non2xx} responses without a 2xx status, ${result.errors} connection errors`);
 	}
 
 	return {
@@ -40,7 +40,7 @@
 	};
 }
 
-/** Memory that one idle caller connection takes, in kilobytes. */
+/** Measures the memory of one idle caller connection, in kilobytes. */
 async function measureIdleConnections(vm: VmProcess): Promise<number> {
 	const before = await vm.readMemoryMb();
 	const sockets: Socket[] = [];
--- a/packages/testkit/src/capacity/main.ts
+++ b/packages/testkit/src/capacity/main.ts
@@ -6,17 +6,18 @@
 import {Cluster, readCpuMs} from '../cluster/index.js';
 import {createAccounts, deployments} from '../measure/index.js';
 
-/** One slope: what one more unit costs. */
+/** Cost of one more unit of something, such as an account or a VM. */
 type UnitCost = {readonly name: string; readonly value: number; readonly unit: string};
 
 const limits = {rate: 10, burst: 10, weight: 1};
 
+/** Returns the heap size after a garbage collection, in bytes. */
 function getHeapBytes(): number {
 	(globalThis as {gc?: () => void}).gc?.();
 	return process.memoryUsage().heapUsed;
 }
 
-/** Bytes of heap that each of a number of things takes. */
+/** Measures the heap size of one of `count` items, in bytes. */
 function measureHeapBytes(count: number, create: () => unknown): number {
 	const before = getHeapBytes();
 	const retained = create();
@@ -24,7 +25,7 @@
 	return retained === undefined ? 0 : (after - before) / count;
 }
 
-/** Microseconds that one run of a task takes. */
+/** Measures the mean duration of a task, in microseconds. */
 function measureMicroseconds(count: number, task: (index: number) => void): number {
 	const startedAt = performance.now();
 	for (let index = 0; index < count; index += 1) {
@@ -124,7 +125,7 @@
 	}];
 }
 
-/** Runs idle clusters and returns what one VM spends. */
+/** Runs an idle cluster and returns the resource use of one VM; rates are per second. */
 async function measureCluster(vms: number): Promise<{cpuPercent: number; peerBytes: number; probeBytes: number; storeReads: number; memoryMb: number}> {
 	const profile = deployments.humidis;
 	const cluster = await Cluster.start({
@@ -153,7 +154,7 @@
 	const sum = (values: readonly number[]) => values.reduce((total, value) => total + value, 0);
 	return {
 		cpuMs: sum(cpu),
-		// A byte on a link costs its sender and its receiver.
+		// Each byte on a link is sent by one VM and received by another.
 		peerBytes: cluster.countPeerBytes() * 2,
 		probeBytes: sum(cluster.deployment.servers.map(server => server.countBytes())),
 		storeReads: cluster.deployment.platform.counters.reads,
--- a/packages/testkit/src/cluster/cluster.ts
+++ b/packages/testkit/src/cluster/cluster.ts
@@ -6,20 +6,20 @@
 import {createConnectTransport} from '@connectrpc/connect-node';
 import {OperatorService} from '@chicorysaddle/protocol';
 import {hashKey, type Settings} from '@chicorysaddle/proxy';
-import {type InitialAccount, bootstrapConfiguration} from '../embedded/bootstrap.js';
+import {bootstrapConfiguration, type InitialAccount} from '../embedded/bootstrap.js';
 import {createFakeDeployment, type FakeDeployment, type FakeDeploymentOptions} from '../fakes/index.js';
 import {Link} from './link.js';
 import {VmProcess} from './vm-process.js';
 
-/** What a cluster is made of. */
+/** Options of a cluster. */
 export type ClusterOptions = {
 	readonly vms: number;
 	readonly deployment: FakeDeploymentOptions;
 	readonly accounts: readonly InitialAccount[];
 	readonly policy: Partial<Settings['policy']>;
-	/** One-way latency between VMs, in milliseconds. */
+	/** One-way network latency between VMs, in milliseconds. */
 	readonly peerLatencyMs: number;
-	/** Lag of the platform's list, in milliseconds. */
+	/** Delay until a change is visible in the platform's VM list, in milliseconds. */
 	readonly vmListLagMs: number;
 	readonly recordsRequestIds?: boolean;
 };
@@ -30,7 +30,7 @@
 const peerSecret = 'peer-secret-of-the-tests';
 const readinessPollMs = 250;
 
-/** A platform, database groups and a number of daemons, with links that can be cut. */
+/** Daemon processes in front of a fake deployment, connected by links with latency and faults. */
 export class Cluster {
 	readonly vms: VmProcess[] = [];
 	readonly #links = new Map<string, Link>();
@@ -41,7 +41,7 @@
 
 	private constructor(readonly deployment: FakeDeployment, private readonly options: ClusterOptions) {}
 
-	/** Starts everything and waits until every VM is ready. */
+	/** Starts the fake deployment, the links and the daemons, and waits until every VM is ready. */
 	static async start(options: ClusterOptions): Promise<Cluster> {
 		const deployment = await createFakeDeployment(options.deployment);
 		const cluster = new Cluster(deployment, options);
@@ -69,19 +69,20 @@
 		await vm.start(file);
 	}
 
-	/** Kills a VM without warning; the platform's list follows later. */
+	/** Kills a VM with SIGKILL; the platform's VM list changes after the configured lag. */
 	killVm(vm: VmProcess): void {
 		vm.kill();
 		this.#vmListChanges.push({at: performance.now(), name: vm.name, isListed: false});
 	}
 
+	/** Shuts down a VM gracefully and returns the exit code of the daemon. */
 	async drainVm(vm: VmProcess): Promise<number> {
 		const code = await vm.drain();
 		this.#vmListChanges.push({at: performance.now(), name: vm.name, isListed: false});
 		return code;
 	}
 
-	/** Cuts a VM off from peers, platform and endpoints, or connects it again. */
+	/** Isolates a VM from its peers, the platform and the endpoints, or reconnects it. */
 	setIsolated(vm: VmProcess, isIsolated: boolean): void {
 		for (const [name, link] of this.#links) {
 			if (name.startsWith(`${vm.name}>`) || name.endsWith(`>${vm.name}`)) {
@@ -98,7 +99,7 @@
 		}
 	}
 
-	/** Returns the bytes that VMs have sent one another. */
+	/** Returns the number of bytes sent between VMs. */
 	countPeerBytes(): number {
 		let byteCount = 0;
 		for (const link of this.#links.values()) {
@@ -108,16 +109,17 @@
 		return byteCount;
 	}
 
-	/** Returns the VMs that a balancer would use. */
+	/** Returns the VMs that a load balancer would use: those that reported readiness at the last poll. */
 	getReadyVms(): VmProcess[] {
 		return this.vms.filter(vm => vm.isReady);
 	}
 
+	/** Waits until every VM is ready; throws after the timeout. */
 	async waitUntilReady(timeoutMs = 30_000): Promise<void> {
 		const deadline = performance.now() + timeoutMs;
 		while (this.vms.some(vm => !vm.isReady)) {
 			if (performance.now() > deadline) {
-				throw new Error(`not ready: ${this.vms.filter(vm => !vm.isReady).map(vm => vm.name).join(', ')}`);
+				throw new Error(`VMs did not become ready before the timeout: ${this.vms.filter(vm => !vm.isReady).map(vm => vm.name).join(', ')}`);
 			}
 
 			await new Promise(resolve => {
@@ -126,7 +128,7 @@
 		}
 	}
 
-	/** Returns a client of a VM's operator port. */
+	/** Returns the client of a VM's operator port, created on first use. */
 	getOperatorClient(vm: VmProcess): Client<typeof OperatorService> {
 		const address = `${vm.address}:${vm.ports.operator}`;
 		const existing = this.#operatorClients.get(address);
@@ -173,7 +175,7 @@
 		}
 	}
 
-	/** The list as it was some time ago; each VM is shown the links that lead from it. */
+	/** Returns the VM list as of the configured lag ago, with the addresses of the links that start at the requesting VM. */
 	#getVmList(source: string): ReturnType<FakeDeployment['platform']['listVms']> {
 		const visibleUntil = performance.now() - this.options.vmListLagMs;
 		const listedNames = new Set<string>();
--- a/packages/testkit/src/cluster/link.ts
+++ b/packages/testkit/src/cluster/link.ts
@@ -2,17 +2,18 @@
 	type AddressInfo, connect, createServer, type Server, type Socket,
 } from 'node:net';
 
-/** A one-way-dialled TCP link between two VMs that adds latency and can be cut. */
+/** TCP relay from one VM to another that adds latency and can drop all data. */
 export class Link {
+	/** Whether data is discarded while the connections stay open, as in a network partition. */
 	isDropping = false;
-	/** Bytes carried, both ways. */
+	/** Number of bytes received from both ends. */
 	byteCount = 0;
 	readonly #server: Server;
 	readonly #sockets = new Set<Socket>();
 
 	/**
-	 * @param getTarget - Returns the current host and port of the far end.
-	 * @param latencyMs - One-way latency.
+	 * @param getTarget - Returns the current host and port of the target, or undefined if it is not running.
+	 * @param latencyMs - One-way latency, in milliseconds.
 	 */
 	constructor(private readonly getTarget: () => {host: string; port: number} | undefined, private readonly latencyMs: number) {
 		this.#server = createServer(socket => {
--- a/packages/testkit/src/cluster/vm-process.ts
+++ b/packages/testkit/src/cluster/vm-process.ts
@@ -4,15 +4,15 @@
 import {fileURLToPath} from 'node:url';
 import process from 'node:process';
 
-/** Ports that a daemon has bound. */
+/** Ports that a daemon is bound to. */
 export type VmPorts = {readonly caller: number; readonly peer: number; readonly operator: number};
 
-/** State of a VM as the test knows it. */
+/** State of a daemon process. */
 export type VmState = 'starting' | 'up' | 'draining' | 'paused' | 'gone';
 
 const daemonPath = fileURLToPath(import.meta.resolve('@chicorysaddle/proxy').replace(/dist\/index\.js$/v, 'bin/chicorysaddled.js'));
 
-/** CPU time used, in milliseconds. */
+/** Reads the CPU time that a process has used, in milliseconds. */
 export async function readCpuMs(pid: number): Promise<number> {
 	const text = await readFile(`/proc/${pid}/stat`, 'utf8');
 	const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
@@ -20,7 +20,7 @@
 	return (Number(fields[11]) + Number(fields[12])) * msPerTick;
 }
 
-/** One daemon, run as a process of its own. */
+/** Daemon in a child process. */
 export class VmProcess {
 	state: VmState = 'starting';
 	ports: VmPorts = {caller: 0, peer: 0, operator: 0};
@@ -34,7 +34,7 @@
 		return this.#child?.pid ?? 0;
 	}
 
-	/** Starts the daemon and waits until its ports are bound. */
+	/** Starts the daemon and waits until its ports are bound; throws if it exits first. */
 	async start(settingsFile: string): Promise<void> {
 		this.state = 'starting';
 		this.isReady = false;
@@ -48,7 +48,7 @@
 		});
 		await new Promise<void>((resolve, reject) => {
 			daemon.once('exit', code => {
-				reject(new Error(`${this.name} ended with ${code}`));
+				reject(new Error(`${this.name} exited with code ${code} before its ports were bound`));
 			});
 			let partialLine = '';
 			daemon.stdout.on('data', chunk => {
@@ -67,7 +67,7 @@
 		this.state = 'up';
 	}
 
-	/** Returns the resident memory, in megabytes. */
+	/** Reads the resident memory of the daemon, in megabytes. */
 	async readMemoryMb(): Promise<number> {
 		const status = await readFile(`/proc/${this.pid}/status`, 'utf8');
 		return Number(/VmRSS:\s+(?<kb>\d+)/v.exec(status)?.groups?.kb ?? 0) / 1024;
@@ -89,7 +89,7 @@
 		this.#child?.kill('SIGCONT');
 	}
 
-	/** Shuts down gracefully and returns the exit code. */
+	/** Shuts down the daemon with SIGTERM and returns its exit code. */
 	async drain(): Promise<number> {
 		this.state = 'draining';
 		const child = this.#child!;
--- a/packages/testkit/src/embedded/bootstrap.ts
+++ b/packages/testkit/src/embedded/bootstrap.ts
@@ -4,14 +4,14 @@
 import {hashKey} from '@chicorysaddle/proxy';
 import {type FakeDeployment} from '../fakes/index.js';
 
-/** An account to begin with. */
+/** Account of the first configuration version. */
 export type InitialAccount = {readonly name: string; readonly rate: number; readonly burst: number; readonly key: string};
 
-/** What the first version of a configuration holds besides the endpoints. */
+/** Contents of the first configuration version besides the endpoints and routes. */
 export type BootstrapOptions = {
 	readonly accounts: readonly InitialAccount[];
 	readonly voters: readonly string[];
-	/** Whether the groups record request ids. */
+	/** Whether the groups record request ids; true by default. */
 	readonly recordsRequestIds?: boolean;
 };
 
@@ -36,7 +36,7 @@
 	];
 }
 
-/** Writes the first version of a configuration for a deployment. */
+/** Writes the first configuration version of a deployment; throws the refusal if the store rejects it. */
 export async function bootstrapConfiguration(deployment: FakeDeployment, options: BootstrapOptions): Promise<void> {
 	const rows: StoredRow[] = [
 		formatRow('secret', 'session', {key: randomBytes(32).toString('hex')}),
--- a/packages/testkit/src/embedded/main.ts
+++ b/packages/testkit/src/embedded/main.ts
@@ -6,7 +6,7 @@
 
 const callerPort = Number(process.env.PORT ?? 7000);
 
-/** Runs one proxy before an embedded platform and three embedded database groups. */
+/** Runs one proxy in front of a fake platform and three fake database groups in the same process. */
 async function runEmbedded(): Promise<void> {
 	const key = `csk_${randomBytes(12).toString('hex')}`;
 	const deployment = await createFakeDeployment({
--- a/packages/testkit/src/fakes/fake-deployment.ts
+++ b/packages/testkit/src/fakes/fake-deployment.ts
@@ -4,19 +4,19 @@
 import {FakePlatform} from './fake-platform.js';
 import {SeededRandom} from './seeded-random.js';
 
-/** Sizes of the stand-ins of a deployment. */
+/** Names and sizes of a fake deployment. */
 export type FakeDeploymentOptions = {
 	readonly groups: readonly string[];
 	readonly zones: readonly string[];
-	/** Statements that an instance runs at once. */
+	/** Maximum of concurrent statements per instance. */
 	readonly slots: number;
-	/** Connections that an instance takes. */
+	/** Maximum of open connections per instance. */
 	readonly connections: number;
 	readonly timing?: EndpointTiming;
 	readonly seed?: number;
 };
 
-/** The stand-ins of one deployment: a platform and database groups. */
+/** Fake platform and fake database groups. */
 export type FakeDeployment = {
 	readonly platform: FakePlatform;
 	readonly groups: FakeGroup[];
@@ -26,7 +26,7 @@
 
 const defaultTiming: EndpointTiming = {minServiceMs: 1, connectMs: 12, roundTripMs: 0};
 
-/** Starts the stand-ins of a deployment, with one instance of each group in each availability zone. */
+/** Starts a fake deployment with one instance of each group in each availability zone. */
 export async function createFakeDeployment(options: FakeDeploymentOptions): Promise<FakeDeployment> {
 	const random = new SeededRandom(options.seed ?? 1);
 	const platform = new FakePlatform();
--- a/packages/testkit/src/fakes/fake-endpoint-server.ts
+++ b/packages/testkit/src/fakes/fake-endpoint-server.ts
@@ -13,7 +13,7 @@
 import {isAtLeast, type LogPosition} from '@chicorysaddle/model';
 import {type FakeInstance, type WriteOperation} from './fake-instance.js';
 
-/** What an endpoint notes of the requests it ran, for the history. */
+/** Record of a request that an endpoint executed. */
 export type EndpointEvent = {
 	readonly at: number;
 	readonly instance: string;
@@ -21,18 +21,19 @@
 	readonly statement: string;
 	readonly parameters: Readonly<Record<string, string>>;
 	readonly step: Step;
-	/** Everything that came with the request, as text. */
+	/** Headers and parameters of the request, as JSON. */
 	readonly requestText: string;
-	/** Tags of the writes that took effect. */
+	/** Tags of the writes that the request applied. */
 	readonly writtenTags: readonly string[];
-	/** Tags of the writes that a commit applied together. */
+	/** Tags of the writes that a commit applied atomically. */
 	readonly committedTags: readonly string[];
 };
 
 /** Timing of an endpoint, in milliseconds. */
 export type EndpointTiming = {
-	/** Least time of a statement; its mean is twice that. */
+	/** Minimum execution time of a statement; the mean is twice that. */
 	readonly minServiceMs: number;
+	/** Additional time of the first request on a connection. */
 	readonly connectMs: number;
 	readonly roundTripMs: number;
 };
@@ -54,13 +55,13 @@
 	});
 }
 
-/** Serves one instance with the protocol that chicorysaddle asks of endpoints. */
+/** Serves the endpoint protocol for one fake instance over HTTP/1.1. */
 export class FakeEndpointServer {
-	/** Called with every request that ran. */
+	/** Called after each executed request. */
 	onEvent: (event: EndpointEvent) => void = () => undefined;
-	/** Whether the next answer is lost after the request ran. */
+	/** Whether the next `Execute` request runs but its connection closes before the response. */
 	isNextResponseLost = false;
-	/** Source addresses that cannot reach it. */
+	/** Source addresses whose connections and requests are dropped. */
 	readonly blockedSources = new Set<string>();
 	#server: Server | undefined;
 	#port = 0;
@@ -78,7 +79,7 @@
 		return this.#connections.size;
 	}
 
-	/** Returns the bytes received and sent. */
+	/** Returns the number of bytes received and sent. */
 	countBytes(): number {
 		let bytes = this.#closedConnectionBytes;
 		for (const socket of this.#connections.keys()) {
@@ -103,7 +104,7 @@
 		this.instance.health = 'up';
 	}
 
-	/** Dies: every connection breaks and none is taken. */
+	/** Simulates a crash: closes every connection and accepts no more. */
 	stop(): void {
 		this.instance.health = 'dead';
 		this.#server?.close();
--- a/packages/testkit/src/fakes/fake-group.ts
+++ b/packages/testkit/src/fakes/fake-group.ts
@@ -2,7 +2,7 @@
 
 const replicationIntervalMs = 3;
 
-/** A group of instances with asynchronous replication from the primary. */
+/** Group of fake instances with asynchronous replication from the primary. */
 export class FakeGroup {
 	#timer: NodeJS.Timeout | undefined;
 
@@ -20,11 +20,12 @@
 		clearInterval(this.#timer);
 	}
 
-	/** Returns the primary of the highest term. */
+	/** Returns the primary with the highest term. */
 	getPrimary(): FakeInstance {
 		return this.instances.filter(instance => instance.isPrimary).toSorted((a, b) => b.term - a.term)[0]!;
 	}
 
+	/** Copies the log of the primary to every connected replica. */
 	replicate(now: number): void {
 		for (const replica of this.instances) {
 			const source = this.#findReplicationSource(replica);
--- a/packages/testkit/src/fakes/fake-instance.ts
+++ b/packages/testkit/src/fakes/fake-instance.ts
@@ -1,9 +1,9 @@
 import {logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** One change of one row. */
+/** One write to one row. */
 export type WriteOperation = {readonly statement: 'put' | 'append'; readonly key: string; readonly value: string; readonly tag: string};
 
-/** One entry of the log, applied whole. */
+/** One log entry, applied atomically. */
 export type LogEntry = {
 	readonly position: LogPosition;
 	readonly operations: readonly WriteOperation[];
@@ -12,24 +12,25 @@
 	readonly writtenAt: number;
 };
 
-/** Health of an instance. */
+/** Health of an instance; a `hung` instance accepts connections but never responds. */
 export type InstanceHealth = 'up' | 'dead' | 'hung';
 
-/** One instance of a database group that keeps everything in memory. */
+/** In-memory instance of a database group. */
 export class FakeInstance {
 	term = 1;
 	promoter = 'initial';
 	isPrimary = false;
 	health: InstanceHealth = 'up';
-	/** Whether it is cut off from the other instances. */
+	/** Whether the instance is isolated from the other instances of its group. */
 	isIsolated = false;
-	/** Delay of replication to this instance, in milliseconds. */
+	/** Replication lag of this instance, in milliseconds. */
 	lagMs = 5;
-	/** Whether its log is known to be a prefix of the primary's of its term. */
+	/** Whether the log is known to be a prefix of the log of the primary of the current term. */
 	isSynced = true;
 	lastPrimaryContactAt = 0;
-	/** Everything written before this time is held. */
+	/** Time up to which the log contains every write of the primary. */
 	syncedAt = 0;
+	/** Number of slots in use. */
 	runningCount = 0;
 	log: LogEntry[] = [];
 	readonly #data = new Map<string, string>();
@@ -49,7 +50,7 @@
 		return recordId === '' ? undefined : this.#records.get(recordId);
 	}
 
-	/** Appends an entry of this instance's own term. */
+	/** Appends and applies an entry of the current term. */
 	appendEntry(operations: readonly WriteOperation[], recordId: string, bodyHash: string, now: number): LogEntry {
 		const entry = {
 			position: {term: this.term, offset: this.log.length + 1}, operations, recordId, bodyHash, writtenAt: now,
@@ -70,7 +71,7 @@
 		}
 	}
 
-	/** Drops the entries from an index on. */
+	/** Truncates the log to a length and rebuilds the data from the remaining entries. */
 	truncateLog(length: number): void {
 		if (length >= this.log.length) {
 			return;
@@ -85,7 +86,7 @@
 		}
 	}
 
-	/** Refuses every term below the given one; a term belongs to one promoter. */
+	/** Accepts a term of a promoter, after which lower terms are refused; returns false if the term is lower than the current one or belongs to another promoter. */
 	fence(term: number, promoter: string): boolean {
 		if (term < this.term || (term === this.term && promoter !== this.promoter)) {
 			return false;
--- a/packages/testkit/src/fakes/fake-platform.ts
+++ b/packages/testkit/src/fakes/fake-platform.ts
@@ -11,18 +11,19 @@
 
 const sourceAddressKey = createContextKey<string>('', {description: 'source address'});
 
-/** A platform that keeps its table, objects and VM list in memory, with faults. */
+/** In-memory platform services (table, object store and VM list) with injectable faults. */
 export class FakePlatform {
-	/** Whether the table and the object store answer. */
+	/** Whether the table and the object store are unavailable. */
 	isDown = false;
-	/** Delay of every answer, in milliseconds. */
+	/** Delay of each response of the table and the object store, in milliseconds. */
 	responseDelayMs = 2;
-	/** Returns whether the answer to a write is lost after it took effect. */
+	/** Returns whether the response to a table write is lost after the write was applied. */
 	isWriteResponseLost: () => boolean = () => false;
-	/** Source addresses that reach neither table nor object store. */
+	/** Source addresses for which the table and the object store are unavailable. */
 	readonly blockedSources = new Set<string>();
-	/** Returns the list as a caller at an address sees it. */
+	/** Returns the VM list for a source address. */
 	listVms: (source: string) => ListedVm[] = () => [];
+	/** Number of table operations received. */
 	readonly counters = {reads: 0, writes: 0};
 	readonly #rows = new Map<string, {version: number; value: string}>();
 	readonly #objects = new Map<string, Uint8Array>();
@@ -46,7 +47,7 @@
 						await this.#injectFaults(context.values.get(sourceAddressKey));
 						const response = this.#compareAndSet(request);
 						if (this.isWriteResponseLost()) {
-							throw new ConnectError('answer lost', Code.Unavailable);
+							throw new ConnectError('injected fault: the write was applied but its response is lost', Code.Unavailable);
 						}
 
 						return response;
@@ -83,7 +84,7 @@
 			setTimeout(resolve, this.responseDelayMs);
 		});
 		if (this.isDown || this.blockedSources.has(source)) {
-			throw new ConnectError('the store is out', Code.Unavailable);
+			throw new ConnectError('injected fault: the store is unavailable', Code.Unavailable);
 		}
 	}
 
--- a/packages/testkit/src/fakes/seeded-random.ts
+++ b/packages/testkit/src/fakes/seeded-random.ts
@@ -1,6 +1,6 @@
 import {unsafeUniformIntDistribution, xoroshiro128plus} from 'pure-rand';
 
-/** A reproducible source of random numbers. */
+/** Pseudorandom number generator with a seed. */
 export class SeededRandom {
 	readonly #generator;
 
@@ -8,16 +8,17 @@
 		this.#generator = xoroshiro128plus(seed);
 	}
 
-	/** Returns a number from zero up to one. */
+	/** Returns a uniformly distributed number, at least 0 and below 1. */
 	nextFraction(): number {
 		return unsafeUniformIntDistribution(0, 0x7F_FF_FF_FE, this.#generator) / 0x7F_FF_FF_FF;
 	}
 
-	/** Returns an exponentially distributed number. */
+	/** Returns an exponentially distributed number with the given mean. */
 	nextExponential(mean: number): number {
 		return -Math.log(1 - this.nextFraction()) * mean;
 	}
 
+	/** Returns a random item of a nonempty array. */
 	chooseItem<T>(items: readonly T[]): T {
 		return items[Math.floor(this.nextFraction() * items.length)]!;
 	}
--- a/packages/testkit/src/history/check-history.ts
+++ b/packages/testkit/src/history/check-history.ts
@@ -1,15 +1,17 @@
 import {Step} from '@chicorysaddle/protocol';
 import {type CallRecord, type History} from './history.js';
-import {type ViolationName, violationNames, type ViolationCounts} from './violations.js';
+import {type ViolationCounts, type ViolationName, violationNames} from './violations.js';
 
-/** Time after which a withdrawn key, or a leaving endpoint, must be out of use, in milliseconds. */
+/** Time after which a withdrawn key or a leaving endpoint must no longer be used, in milliseconds. */
 const removalDeadlineMs = 3000;
-/** Time after which an accepted configuration must be in force, in milliseconds. */
+/** Time after which every ready VM must use an accepted configuration, in milliseconds. */
 const inForceDeadlineMs = 8000;
-/** Mark that every key in a test begins with. */
+/** Prefix of every key in tests. */
 const keyPrefix = 'csk_';
+/** Absorbs floating-point errors, in calls. */
 const callCountTolerance = 1e-6;
 
+/** Returns the number of violations of one invariant. */
 type HistoryCheck = (history: History) => number;
 
 function countMatching<T>(items: Iterable<T>, isViolation: (item: T) => boolean): number {
@@ -42,7 +44,7 @@
 	return counts;
 }
 
-/** A commit carries the tag of its transaction; so do the statements, with a number behind. */
+/** A commit has the tag of its transaction; its statements have that tag followed by `:` and a number. */
 function isTagOfTransaction(tag: string, transactionTag: string): boolean {
 	return tag === transactionTag || tag.startsWith(`${transactionTag}:`);
 }
@@ -119,7 +121,7 @@
 	});
 }
 
-/** No window holds more calls, sent and answered inside it, than burst plus rate times its length. */
+/** Checks every time window: the calls both sent and answered in it must not exceed the burst plus the rate times its length. */
 function isWithinRate(calls: readonly CallRecord[], rate: number, burst: number): boolean {
 	const startTimes = calls.map(call => call.sentAt).toSorted((a, b) => a - b);
 	const callsByEnd = calls.toSorted((a, b) => a.endedAt - b.endedAt);
@@ -163,7 +165,7 @@
 	lostWrite: checkLostWrite,
 };
 
-/** Counts the violations of every line that must always hold. */
+/** Counts the violations of each invariant in a history. */
 export function checkHistory(history: History): ViolationCounts {
 	const entries = violationNames.map(name => [name, historyChecks[name](history)] as const);
 	return Object.fromEntries(entries) as ViolationCounts;
--- a/packages/testkit/src/history/history.ts
+++ b/packages/testkit/src/history/history.ts
@@ -1,13 +1,13 @@
 import {type EndpointEvent, type LogEntry} from '../fakes/index.js';
 
-/** What became of a call, as its caller saw it. */
+/** Outcome of a call, as seen by its caller. */
 export type CallOutcome =
 	| {readonly kind: 'answered'; readonly value: string | undefined; readonly rowKey: string | undefined; readonly servedBy: string}
 	| {readonly kind: 'refused'; readonly refusal: string; readonly ran: string}
-	/** The connection broke before the answer. */
+	/** The connection failed before a response arrived. */
 	| {readonly kind: 'broken'};
 
-/** One call, as its caller saw it. */
+/** One call, as seen by its caller. Times are in milliseconds on the monotonic clock. */
 export type CallRecord = {
 	readonly sentAt: number;
 	readonly endedAt: number;
@@ -19,27 +19,27 @@
 	readonly session: number;
 	readonly group: string;
 	readonly action: 'read' | 'write' | 'begin' | 'statement' | 'commit';
-	/** Row that the call was about. */
+	/** Key of the row that the call reads or writes. */
 	readonly rowKey: string;
-	/** Unique mark of what the call wrote, empty for none. */
+	/** Unique tag of the write; empty if the call writes nothing. */
 	readonly tag: string;
-	/** Marks that the session knew to be acknowledged when the call was sent. */
+	/** Tags of the writes that were acknowledged to the session before the call was sent. */
 	readonly acknowledgedTags: readonly string[];
-	/** Whether only a refusal is right. */
+	/** Whether a refusal is the only correct outcome. */
 	readonly mustBeRefused: boolean;
 	readonly outcome: CallOutcome;
 };
 
-/** A version seen at a VM. */
+/** Configuration version that a VM reported. */
 export type VersionObservation = {readonly at: number; readonly vm: string; readonly pid: number; readonly version: number; readonly isReady: boolean};
 
-/** When an instance began to lead a term. */
+/** Time at which an instance became the primary of a term. */
 export type PromotionRecord = {readonly at: number; readonly group: string; readonly term: number};
 
-/** Limits of an account, from a time on. */
+/** Rate limit of an account, in calls per second and calls. */
 export type AccountLimits = {readonly account: string; readonly rate: number; readonly burst: number};
 
-/** Everything recorded in a run, from the callers' side and the stand-ins' side. */
+/** Records of a run, from the callers and from the fakes. */
 export type History = {
 	readonly calls: CallRecord[];
 	readonly events: EndpointEvent[];
@@ -48,12 +48,12 @@
 	readonly keyWithdrawals: Array<{readonly at: number; readonly key: string}>;
 	readonly leavingEndpoints: Array<{readonly at: number; readonly instance: string}>;
 	readonly limits: AccountLimits[];
-	/** Time at which a fault hit a group's primary. */
+	/** Times at which a group's primary was made to fail. */
 	readonly primaryFailures: Array<{readonly at: number; readonly group: string}>;
-	/** Log lines of the daemons, for finding causes only. */
+	/** Log lines of the daemons, for diagnosis; no check reads them. */
 	readonly daemonLogs: string[];
 	readonly groupByInstance: Map<string, string>;
-	/** Log of each group's last primary at the end. */
+	/** Log of each group's primary at the end of the run. */
 	readonly finalPrimaryLogs: Map<string, readonly LogEntry[]>;
 };
 
--- a/packages/testkit/src/history/run-statistics.ts
+++ b/packages/testkit/src/history/run-statistics.ts
@@ -1,19 +1,22 @@
 import {build} from 'hdr-histogram-js';
 import {type AccountLimits, type CallRecord, type History} from './history.js';
 
-/** The figures that the users weigh. */
+/** Statistics of a run, computed from its history; they are part of the JSON output. */
 export type RunStatistics = {
 	readonly requests: number;
 	readonly refused: number;
+	/** Fraction of the answered reads that a replica served. */
 	readonly replicaReadShare: number;
-	/** Longest time between acknowledged writes around the failure of a group's primary, zero without failures. */
+	/** Longest time between two consecutive acknowledged writes around a failure of a group's primary; zero without failures. */
 	readonly failoverGapMs: number;
+	/** Lowest fraction, over all accounts, of the admissible calls that were served. */
 	readonly worstServedAccountShare: number;
+	/** Fraction of the admissible calls of all accounts that were not served. */
 	readonly refusedInsideRate: number;
 	readonly latencyMs: {readonly p50: number; readonly p99: number; readonly max: number};
 };
 
-/** Says of each call of an account, in order, whether one bucket for all VMs would have let it through. */
+/** Returns for each call of an account, in order, whether a single token bucket shared by all VMs would have admitted it. */
 export function simulateSharedBucket(calls: readonly CallRecord[], {rate, burst}: AccountLimits): boolean[] {
 	let tokens = burst;
 	let lastSentAt = calls[0]?.sentAt ?? 0;
@@ -26,10 +29,10 @@
 	});
 }
 
-/** How an account fared: calls that one bucket would have let through, and how many of as many were served. */
+/** Calls of an account that a shared token bucket would have admitted, and the served calls up to that number. */
 type AccountStatistics = {readonly admissibleCount: number; readonly servedCount: number};
 
-/** Which calls of an account above its rate are served does not matter, only how many. */
+/** Compares counts only: an account above its rate may have any of its calls served. */
 function computeAccountStatistics(history: History, limits: AccountLimits): AccountStatistics {
 	const calls = history.calls
 		.filter(call => call.account === limits.account && !call.mustBeRefused && call.action !== 'commit')
@@ -49,7 +52,7 @@
 	return Math.round(Math.max(0, ...gaps));
 }
 
-/** Works out the figures of a run. */
+/** Computes the statistics of a run. */
 export function computeRunStatistics(history: History): RunStatistics {
 	const calls = history.calls.filter(call => !call.mustBeRefused);
 	const reads = calls.filter(call => call.action === 'read' && call.outcome.kind === 'answered');
--- a/packages/testkit/src/history/violations.ts
+++ b/packages/testkit/src/history/violations.ts
@@ -1,4 +1,4 @@
-/** Names of the lines that must always hold. */
+/** Names of the invariants that are checked on a history; they are part of the JSON output. */
 export const violationNames = [
 	'readYourWrites',
 	'oldPrimaryAck',
@@ -16,7 +16,8 @@
 	'lostWrite',
 ] as const;
 
+/** Name of a checked invariant. */
 export type ViolationName = (typeof violationNames)[number];
 
-/** Number of violations of each line. */
+/** Number of violations of each invariant. */
 export type ViolationCounts = Record<ViolationName, number>;
--- a/packages/testkit/src/load/caller-client.ts
+++ b/packages/testkit/src/load/caller-client.ts
@@ -1,13 +1,13 @@
 import {Pool} from 'undici';
 import {type VmProcess} from '../cluster/index.js';
 
-/** Answer of a proxy to one call, or what broke it. */
+/** Result of one call: a response, a refusal or a failed connection. */
 export type CallResult =
 	| {readonly kind: 'answered'; readonly body: ResponseBody}
 	| {readonly kind: 'refused'; readonly refusal: string; readonly ran: string; readonly session: string}
 	| {readonly kind: 'broken'};
 
-/** The fields of answers that callers use. */
+/** Response fields that callers use. */
 export type ResponseBody = {
 	readonly rows?: ReadonlyArray<{readonly columns: Readonly<Record<string, string>>}>;
 	readonly session?: string;
@@ -25,13 +25,14 @@
 };
 
 const servicePath = '/chicorysaddle.caller.v1.DatabaseService';
-/** Time past its deadline after which a caller gives up on an answer, in milliseconds. */
+/** Time after the deadline of a call at which the client stops waiting for the response, in milliseconds. */
 const responseGraceMs = 2000;
 
-/** Calls proxies over HTTP/1.1 with JSON. */
+/** Sends calls to proxies as JSON over HTTP/1.1. */
 export class CallerClient {
 	readonly #pools = new Map<string, Pool>();
 
+	/** Sends a call and returns its result; never rejects. */
 	async sendCall(vm: VmProcess, method: string, body: unknown, options: CallOptions): Promise<CallResult> {
 		try {
 			const response = await this.#getPool(vm).request({
--- a/packages/testkit/src/load/load-generator.ts
+++ b/packages/testkit/src/load/load-generator.ts
@@ -2,15 +2,15 @@
 import {type InitialAccount} from '../embedded/bootstrap.js';
 import {type CallOutcome, type CallRecord, type History} from '../history/index.js';
 import {SeededRandom} from '../fakes/index.js';
-import {type ResponseBody, type CallerClient, type CallResult} from './caller-client.js';
+import {type CallerClient, type CallResult, type ResponseBody} from './caller-client.js';
 
-/** Load of one account. */
+/** Account with the load that it offers. */
 export type AccountLoad = InitialAccount & {
-	/** Calls offered, as a multiple of the rate. */
+	/** Offered calls, as a multiple of the account's rate. */
 	offeredLoad: number;
 };
 
-/** What one action of a session needs. */
+/** State of one caller session. */
 type SessionState = {
 	readonly id: number;
 	readonly account: AccountLoad;
@@ -27,7 +27,7 @@
 /** Number of write numbers after which a session moves on to another row, which bounds the value of a row. */
 const writeNumbersPerRow = 12;
 const actionWeights: ReadonlyArray<readonly [ActionName, number]> = [['read', 0.72], ['browse', 0.06], ['file', 0.17], ['transaction', 0.04], ['intrude', 0.01]];
-/** Calls that one action of a kind makes against the rate. */
+/** Calls per action that count against the account's rate. */
 const callsPerAction: Readonly<Record<ActionName, number>> = {
 	read: 1, browse: 1, file: 1, transaction: 3, intrude: 0,
 };
@@ -50,13 +50,13 @@
 		}
 	}
 
-	/** Stops sending and waits for the calls under way. */
+	/** Stops sending and waits for the pending calls. */
 	async stop(): Promise<void> {
 		this.#isStopped = true;
 		await Promise.all(this.#runningActions);
 	}
 
-	/** Keeps sending reads with a key that may be withdrawn, until the load stops. */
+	/** Sends reads with a key that may have been withdrawn, until the load stops. */
 	async sendReadsWithKey(account: AccountLoad, vms: readonly VmProcess[]): Promise<void> {
 		const pauseMs = 100;
 		const session = this.#createSession(account);
@@ -189,7 +189,7 @@
 		}
 	}
 
-	/** Calls that must be refused: a wrong key, and the session of another account. */
+	/** Sends a read that must be refused: with an unknown key, or with the key of another account and the token of this session. */
 	async #sendForbiddenRead(session: SessionState): Promise<void> {
 		const otherAccount = this.accounts.find(account => account !== session.account)!;
 		const isWrongKey = session.token === '' || this.#random.nextFraction() < 0.5;
@@ -207,7 +207,7 @@
 		}
 	}
 
-	/** Balances over the ready VMs, unevenly. */
+	/** Chooses a ready VM with an uneven distribution that favors the first ones. */
 	#chooseVm(): VmProcess {
 		const ready = this.cluster.getReadyVms();
 		const vms = ready.length === 0 ? this.cluster.vms : ready;
--- a/packages/testkit/src/measure/deployments.ts
+++ b/packages/testkit/src/measure/deployments.ts
@@ -1,10 +1,10 @@
 import {type FakeDeploymentOptions} from '../fakes/index.js';
 import {type AccountLoad} from '../load/index.js';
 
-/** Names of the deployments that are measured. */
+/** Names of the measured deployments. */
 export type DeploymentName = 'humidis' | 'cathair';
 
-/** Sizes of one deployment. */
+/** Sizes of a deployment; rates are in calls per second. */
 export type DeploymentProfile = {
 	readonly deployment: FakeDeploymentOptions;
 	readonly peerLatencyMs: number;
@@ -15,7 +15,7 @@
 /** Number of VMs of each deployment. */
 export const vmCount = 7;
 
-/** The sizes that the users give. */
+/** Profiles of the users' deployments. */
 export const deployments: Readonly<Record<DeploymentName, DeploymentProfile>> = {
 	humidis: {
 		deployment: {
@@ -36,7 +36,7 @@
 const largeAccountCount = 3;
 const accountCount = 8;
 
-/** Creates the accounts of a deployment, the large ones first. */
+/** Creates the accounts of a deployment, large ones first. */
 export function createAccounts(profile: DeploymentProfile, offeredLoad: number): AccountLoad[] {
 	return Array.from({length: accountCount}, (_, index) => {
 		const rate = index < largeAccountCount ? profile.largeAccountRate : profile.smallAccountRate;
--- a/packages/testkit/src/measure/main.ts
+++ b/packages/testkit/src/measure/main.ts
@@ -16,7 +16,7 @@
 function parseName<T extends string>(kind: string, name: string, allowedNames: readonly T[]): T {
 	const match = allowedNames.find(other => other === name);
 	if (match === undefined) {
-		process.stderr.write(`no ${kind} "${name}"; known: ${allowedNames.join(', ')}\n`);
+		process.stderr.write(`unknown ${kind} "${name}"; expected one of: ${allowedNames.join(', ')}\n`);
 		process.exit(exitCodes.badArguments);
 	}
 
--- a/packages/testkit/src/measure/run-measurement.ts
+++ b/packages/testkit/src/measure/run-measurement.ts
@@ -10,29 +10,30 @@
 } from './deployments.js';
 import {type ScenarioName, scenarios} from './scenarios.js';
 
-/** Names of the policies: the product's, and plain ones to compare with. */
+/** Policy under measurement: `product` is the default, the others are baselines. */
 export type PolicyName = 'product' | 'primary-only' | 'round-robin' | 'static-split' | 'owner' | 'first-come' | 'at-once';
 
-/** What to measure. */
+/** Options of a measurement. */
 export type MeasurementOptions = {
 	readonly deployment: DeploymentName;
 	readonly scenario: ScenarioName;
 	readonly seconds: number;
 	readonly seed: number;
 	readonly policy: PolicyName;
-	/** Calls offered, as a multiple of each account's rate; the scenario's own where absent. */
+	/** Offered calls, as a multiple of each account's rate; by default that of the scenario. */
 	readonly offeredLoad?: number | undefined;
 };
 
-/** What was measured. */
+/** Result of a measurement; written as JSON. */
 export type Measurement = Omit<MeasurementOptions, 'offeredLoad'> & RunStatistics & {
 	readonly violations: ViolationCounts;
-	/** Share of a core that a VM used, on average. */
+	/** Mean CPU use of a VM, as a fraction of a core. */
 	readonly vmCpuShare: number;
-	/** Operations of all VMs at the platform's table, a second. */
+	/** Reads of the platform's table by all VMs, per second. */
 	readonly storeReads: number;
+	/** Writes to the platform's table by all VMs, per second. */
 	readonly storeWrites: number;
-	/** Refusals by kind. */
+	/** Number of refusals by kind, and of failed connections. */
 	readonly refusals: Readonly<Record<string, number>>;
 };
 
@@ -46,16 +47,16 @@
 	'at-once': {acknowledge: 'at-once'},
 };
 
-/** Names of the policies. */
+/** Names of all policies. */
 export const policyNames = Object.keys(policySettings) as PolicyName[];
 
 const versionPollMs = 500;
 /** Time between the end of the load and the recording of the final logs, in milliseconds. */
 const postLoadSettleMs = 1500;
-/** Time before the load that shares take to settle, in milliseconds. */
+/** Time before the load in which the rate shares of the VMs converge, in milliseconds. */
 const warmUpMs = 5000;
 
-/** Runs a scenario against seven daemons and works out the figures from its history. */
+/** Runs a scenario against a cluster and computes the statistics and violations from its history. */
 export async function runMeasurement(options: MeasurementOptions): Promise<{measurement: Measurement; history: History}> {
 	const profile = deployments[options.deployment];
 	const scenario = scenarios[options.scenario];
@@ -145,7 +146,7 @@
 						at: performance.now(), vm: vm.name, pid, version: Number(status.ownVersion), isReady,
 					});
 				} catch {
-					// A VM that does not answer is not sighted.
+					// A VM that does not respond adds no observation.
 				}
 			})();
 		}
--- a/packages/testkit/src/measure/scenarios.ts
+++ b/packages/testkit/src/measure/scenarios.ts
@@ -6,12 +6,12 @@
 import {type LoadGenerator} from '../load/index.js';
 import {type FakeEndpointServer, type SeededRandom} from '../fakes/index.js';
 
-/** Names of the scenarios. */
+/** Name of a scenario. */
 export type ScenarioName =
 	| 'steady' | 'surge' | 'lag' | 'failover' | 'hung-primary' | 'cut-primary' | 'vm-kill' | 'vm-pause' | 'vm-cut' | 'store-outage' | 'store-lost-answers'
 	| 'key-withdrawal' | 'config-race' | 'endpoint-leaving' | 'drain' | 'double';
 
-/** What a scenario acts on. */
+/** Objects that a scenario acts on. */
 export type ScenarioContext = {
 	readonly cluster: Cluster;
 	readonly history: History;
@@ -20,9 +20,9 @@
 	readonly durationMs: number;
 };
 
-/** One scenario: the load it offers and what happens during it. */
+/** Offered load and the faults or changes during it. */
 export type Scenario = {
-	/** Calls offered, as a multiple of each account's rate. */
+	/** Offered calls, as a multiple of each account's rate. */
 	readonly offeredLoad: number;
 	run(context: ScenarioContext): Promise<void>;
 };
@@ -44,7 +44,7 @@
 	return random.chooseItem(cluster.getReadyVms().length === 0 ? cluster.vms : cluster.getReadyVms());
 }
 
-/** Applies rows through one VM, again where another operator was first, and notes when they were accepted. */
+/** Applies configuration rows through one VM, retries until they are accepted, and records the accepted version. */
 export async function applyConfigurationRows(context: ScenarioContext, rows: readonly StoredRow[], vm = chooseVm(context)): Promise<number> {
 	const operator = context.cluster.getOperatorClient(vm);
 	const writeId = randomUUID();
@@ -59,7 +59,7 @@
 				return Number(response.version);
 			}
 		} catch {
-			// An answer that was lost is asked for again.
+			// The response may be lost; the next attempt repeats the change under the same write id.
 		}
 
 		await delay(50);
@@ -79,7 +79,7 @@
 	}
 }
 
-/** A caller that does not know that its key is gone. */
+/** Simulates a caller that still uses a withdrawn key. */
 async function sendReadsWithOldKey({cluster, load}: ScenarioContext, key: string, account: string): Promise<void> {
 	const accountWithOldKey = {...load.accounts.find(({name}) => name === account)!, key};
 	await load.sendReadsWithKey(accountWithOldKey, cluster.vms);
@@ -114,7 +114,7 @@
 	server.instance.health = 'up';
 }
 
-/** The primary loses its group; some proxies still reach it. */
+/** Isolates the primary from its group and the first four VMs; the other VMs still reach it. */
 async function isolatePrimary(context: ScenarioContext): Promise<void> {
 	await delay(context.durationMs / 3);
 	const server = findPrimaryServer(context.cluster);
@@ -159,7 +159,7 @@
 
 async function stopStoreAndRestartVms(context: ScenarioContext): Promise<void> {
 	context.cluster.deployment.platform.isDown = true;
-	// An allocator of limits goes first: its loss costs most.
+	// The allocator of the rate limits is killed first, because its loss has the largest effect.
 	const {leaseHolder} = await context.cluster.getOperatorClient(context.cluster.vms[0]!).getStatus({});
 	const allocator = context.cluster.vms.find(({name}) => leaseHolder.startsWith(name)) ?? context.cluster.vms[0]!;
 	const other = context.cluster.vms.find(vm => vm !== allocator)!;
@@ -218,7 +218,7 @@
 	await Promise.all([first(context), second(context)]);
 }
 
-/** The scenarios by name. */
+/** All scenarios by name. */
 export const scenarios: Readonly<Record<ScenarioName, Scenario>> = {
 	steady: {offeredLoad: 0.6, run: async () => undefined},
 	surge: {
--- a/packages/testkit/src/tests/cli/command-line.test.ts
+++ b/packages/testkit/src/tests/cli/command-line.test.ts
@@ -22,7 +22,7 @@
 	});
 }
 
-test('a sheet is checked, planned, applied once and refused whole when it is bad', async t => {
+test('a valid sheet is planned and applied once, and an invalid sheet is refused as a whole', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
 	const folder = await mkdtemp(path.join(tmpdir(), 'chicorysaddle-sheet-'));
@@ -61,7 +61,7 @@
 	t.true((await run('config', 'history')).out.includes('limit client account new'));
 });
 
-test('the examples are good', async t => {
+test('the example sheets and settings are valid', async t => {
 	for (const deployment of ['humidis', 'cathair']) {
 		const sheet = parseSheet(await readFile(path.join(examplesPath, deployment, 'morning.csv')));
 		t.is(sheet.map(rows => rows.length).orDefault(0), 25);
--- a/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
+++ b/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
@@ -24,13 +24,13 @@
 	t.is(await getResultStage(connection.execute(write, {timeoutMs: 1000})), 'answered');
 
 	server!.instance.health = 'hung';
-	t.is(await getResultStage(connection.execute(write, {timeoutMs: 30})), 'unanswered', 'given up on while it may be running');
+	t.is(await getResultStage(connection.execute(write, {timeoutMs: 30})), 'unanswered', 'timed out while it may be running');
 	t.is(connection.disconnectCount, 1);
 	const running = connection.execute(write, {timeoutMs: 1000});
 	connection.close();
 	t.is(await getResultStage(running), 'unanswered', 'closed while it may be running');
-	t.is(await getResultStage(connection.execute(write, {timeoutMs: 1000})), 'unsent', 'closed before');
+	t.is(await getResultStage(connection.execute(write, {timeoutMs: 1000})), 'unsent', 'closed before the request');
 
 	server!.stop();
-	t.is(await getResultStage(createConnection().execute(write, {timeoutMs: 1000})), 'unsent', 'refused');
+	t.is(await getResultStage(createConnection().execute(write, {timeoutMs: 1000})), 'unsent', 'connection refused');
 });
--- a/packages/testkit/src/tests/examples/embed.test.ts
+++ b/packages/testkit/src/tests/examples/embed.test.ts
@@ -4,7 +4,7 @@
 import {promisify} from 'node:util';
 import test from 'ava';
 
-test('the example that embeds the limits stays within the rate and uses it', async t => {
+test('the example that embeds the rate limits admits at least 90 calls and no more than the rate allows', async t => {
 	const example = fileURLToPath(new URL('../../../../../examples/embed/limits.js', import.meta.url));
 	const {stdout} = await promisify(execFile)(process.execPath, [example]);
 	const [admitted, most] = stdout.match(/\d+/gv)!.map(Number);
--- a/packages/testkit/src/tests/faults/transactions.test.ts
+++ b/packages/testkit/src/tests/faults/transactions.test.ts
@@ -37,7 +37,7 @@
 	t.is(await getRefusalKind(near.commit({transaction})), 'transaction-not-found');
 });
 
-test('transactions belong to their account, and rolling back leaves nothing', async t => {
+test('a transaction refuses other accounts, and a rollback leaves no writes', async t => {
 	const accounts = [{
 		name: 'a', rate: 100, burst: 100, key: 'csk_a',
 	}, {
@@ -56,7 +56,7 @@
 	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
 });
 
-test('a transaction on a primary that dies is lost, and says so', async t => {
+test('a transaction is lost when its primary crashes: its commit is refused and its write is absent', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const caller = local.createCallerClient(0);
@@ -78,7 +78,7 @@
 	t.is(local.deployment.groups[0]!.getPrimary().getValue('k'), '');
 });
 
-test('a transaction that idles too long is rolled back', async t => {
+test('a transaction is rolled back after its idle timeout', async t => {
 	const local = await startLocalProxies({vms: 1, timeouts: {transaction_idle_ms: 50}});
 	t.teardown(local.stop);
 	const caller = local.createCallerClient(0);
--- a/packages/testkit/src/tests/faults/writes.test.ts
+++ b/packages/testkit/src/tests/faults/writes.test.ts
@@ -16,12 +16,12 @@
 	return {kind: 'answered', ran: '', session: ''};
 }
 
-/** The proxy is told the deadline; the client itself waits for as long as it takes. */
+/** Sends the deadline to the proxy as a header; the client itself sets no timeout. */
 function createCallOptions(idempotencyKey: string, timeoutMs = 5000) {
 	return {headers: {'idempotency-key': idempotencyKey, 'connect-timeout-ms': String(timeoutMs)}};
 }
 
-test('a write is acknowledged only once a replica holds it, and never by a primary cut off from its group', async t => {
+test('a write is acknowledged only after a replica has it, and never by a primary that is isolated from its group', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const [group] = local.deployment.groups;
@@ -40,17 +40,17 @@
 	t.is(group!.getPrimary().getValue('k'), 'v');
 	primary.isIsolated = false;
 	await waitFor(() => !primary.isPrimary && primary.position.term === group!.getPrimary().term);
-	t.is(primary.getValue('k'), 'v', 'the write of the former primary, never acknowledged, is gone');
+	t.is(primary.getValue('k'), 'v', 'the unacknowledged write of the former primary is truncated');
 });
 
-test('a write whose answer is lost runs once, also when it is asked for again at another proxy', async t => {
+test('a write whose response is lost runs once, even if it is repeated at another proxy', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
 	const server = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
 	server.isNextResponseLost = true;
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
 	const first = await local.createCallerClient(0).run(file, createCallOptions('one'));
-	t.true(first.replayed, 'the proxy itself asked again and got the recorded answer');
+	t.true(first.replayed, 'the proxy retried and received the recorded response');
 	const again = await local.createCallerClient(1).run(file, createCallOptions('one'));
 	t.true(again.replayed);
 	t.is(server.instance.getValue('k'), 'v');
@@ -58,7 +58,7 @@
 	t.deepEqual([other.kind, other.ran], ['request-mismatch', 'no']);
 });
 
-test('a group that does not record requests: a lost answer is "unknown", and the claim keeps a repeat from running', async t => {
+test('in a group that does not record requests, a lost response is refused as unknown, and the claim prevents a second run', async t => {
 	const local = await startLocalProxies({vms: 2, recordsRequestIds: false});
 	t.teardown(local.stop);
 	const server = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
@@ -66,7 +66,7 @@
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
 	const lost = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one')));
 	t.deepEqual([lost.kind, lost.ran], ['outcome-unknown', 'unknown']);
-	t.not(lost.session, '', 'the session learns that the group has to be read at its primary');
+	t.not(lost.session, '', 'the refusal carries a session token that directs reads of the group to its primary');
 	const again = await getRefusal(local.createCallerClient(1).run(file, createCallOptions('one')));
 	t.deepEqual([again.kind, again.ran], ['outcome-unknown', 'unknown']);
 	t.is(server.instance.getValue('k'), 'v');
@@ -74,7 +74,7 @@
 	t.deepEqual([read.servedBy, read.rows[0]?.columns.value], ['primary', 'v']);
 });
 
-test('with both replicas gone a write is refused as not run, and with one gone it is served', async t => {
+test('a write is served without one replica, and refused as not run without both', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const [first, second] = local.deployment.servers.filter(({instance}) => !instance.isPrimary);
--- a/packages/testkit/src/tests/golden/golden-sessions.test.ts
+++ b/packages/testkit/src/tests/golden/golden-sessions.test.ts
@@ -8,13 +8,13 @@
 const goldenFolder = new URL('../../../golden/', import.meta.url);
 const serviceName = 'chicorysaddle.caller.v1.DatabaseService';
 
-/** Replaces what differs from run to run, and names what stays the same within one. */
+/** Text of a session in which values that differ between runs are replaced by placeholders, the same one for each occurrence of a value. */
 class Transcript {
 	readonly #lines: string[] = [];
 	readonly #names = new Map<string, string>();
 
 	addLine(direction: string, text: string): void {
-		// Which instance serves a read depends on what is known at that moment.
+		// The instance that serves a read depends on timing.
 		let line = text.replaceAll(/(?<rows>"rows":.*)"servedBy":.*\}$/gv, '$<rows>"servedBy":"#"}');
 		for (const [value, name] of this.#names) {
 			line = line.replaceAll(value, name);
@@ -34,7 +34,7 @@
 	}
 }
 
-/** Plays the steps of a session, each with the newest token, as a caller with curl would. */
+/** Sends the steps of a session as plain HTTP requests, each with the latest session token, and returns the transcript. */
 async function runSession(local: LocalProxies, steps: readonly SessionStep[]): Promise<string> {
 	const transcript = new Transcript();
 	let session = '';
@@ -103,7 +103,7 @@
 }
 
 for (const [name, steps] of Object.entries(sessions)) {
-	test(`the session "${name}" goes as its golden file says`, async t => {
+	test(`the session "${name}" matches its golden file`, async t => {
 		const local = await startLocalProxies({vms: 2});
 		t.teardown(local.stop);
 		const text = await runSession(local, steps);
@@ -111,7 +111,7 @@
 	});
 }
 
-test('a failover and a lost answer go as their golden file says', async t => {
+test('a lost response and a failover match their golden file', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const file = (value: string): SessionStep => ({
--- a/packages/testkit/src/tests/history/check-history.test.ts
+++ b/packages/testkit/src/tests/history/check-history.test.ts
@@ -29,7 +29,7 @@
 	}]]]);
 }
 
-/** A run in which a write is kept, read back and committed together with another. */
+/** Creates a history with an acknowledged write, a read of it and a committed transaction. */
 function createValidHistory(): History {
 	const history = createHistory();
 	history.groupByInstance.set('g-1', 'g').set('g-2', 'g');
@@ -92,19 +92,19 @@
 	lostWrite: ({calls}) => calls.push(createCall({action: 'write', tag: 't7'})),
 };
 
-test('a good history has no violation', t => {
+test('a valid history has no violations', t => {
 	t.deepEqual(Object.values(checkHistory(createValidHistory())).filter(times => times > 0), []);
 });
 
 for (const name of violationNames) {
-	test(`the checker of ${name} catches a planted fault`, t => {
+	test(`the check of ${name} detects an injected violation`, t => {
 		const history = createValidHistory();
 		injectedViolations[name](history);
 		t.is(checkHistory(history)[name], 1);
 	});
 }
 
-test('a version that is accepted but not in force after eight seconds is a violation', t => {
+test('an accepted version that is not in force after eight seconds is a violation', t => {
 	const history = createValidHistory();
 	history.acceptedVersions.push({at: 0, version: 3});
 	history.observedVersions.push({
@@ -113,7 +113,7 @@
 	t.is(checkHistory(history).configReverted, 1);
 });
 
-test('a commit that lacks an acknowledged statement is a mixed transaction', t => {
+test('a commit without one of its acknowledged statements is a mixed transaction', t => {
 	const history = createValidHistory();
 	history.calls.push(createCall({action: 'statement', tag: 'x:1'}));
 	t.is(checkHistory(history).mixedTransactions, 1);
--- a/packages/testkit/src/tests/local-proxies.ts
+++ b/packages/testkit/src/tests/local-proxies.ts
@@ -5,7 +5,7 @@
 import {bootstrapConfiguration, type InitialAccount} from '../embedded/bootstrap.js';
 import {createFakeDeployment, type FakeDeployment} from '../fakes/index.js';
 
-/** What a few proxies in this process are started with. */
+/** Options of proxies in the test process. */
 export type LocalProxiesOptions = {
 	readonly vms: number;
 	readonly accounts?: readonly InitialAccount[];
@@ -13,26 +13,26 @@
 	readonly timeouts?: Readonly<Record<string, number>>;
 };
 
-/** A few proxies in this process, before stand-ins. */
+/** Proxies in the test process, in front of a fake deployment. */
 export type LocalProxies = {
 	readonly deployment: FakeDeployment;
 	readonly proxies: Proxy[];
 	readonly operatorToken: string;
-	/** Returns a client of a proxy's caller port that shows a key. */
+	/** Creates a client of a proxy's caller port that sends a key; an empty key sends none. */
 	createCallerClient(index: number, key?: string): Client<typeof DatabaseService>;
 	readonly stop: () => Promise<void>;
 };
 
-/** Key of the account that there is when no others are asked for. */
+/** Key of the default account. */
 export const testKey = 'csk_test-key';
 const operatorToken = 'operator-token';
 
-/** Waits until a condition holds. */
+/** Waits until a condition is met; throws after the timeout. */
 export async function waitFor(isMet: () => boolean | Promise<boolean>, timeoutMs = 20_000): Promise<void> {
 	const deadline = performance.now() + timeoutMs;
 	while (!await isMet()) {
 		if (performance.now() > deadline) {
-			throw new Error('the condition did not come to hold');
+			throw new Error('condition was not met before the timeout');
 		}
 
 		await new Promise(resolve => {
@@ -41,7 +41,7 @@
 	}
 }
 
-/** Asks as a caller has to: a refusal that says that nothing ran, for want of a primary, is worth asking again. */
+/** Sends a request and, as callers have to, retries it after a `no-primary` refusal that says that nothing ran. */
 export async function retryUntilServed<Answer>(send: () => Promise<Answer>, timeoutMs = 20_000): Promise<Answer> {
 	const deadline = performance.now() + timeoutMs;
 	for (;;) {
@@ -60,7 +60,7 @@
 	}
 }
 
-/** Starts proxies and waits until they are ready. */
+/** Starts a fake deployment and proxies, and waits until the proxies are ready. */
 export async function startLocalProxies(options: LocalProxiesOptions): Promise<LocalProxies> {
 	const zones = ['zone-1', 'zone-2', 'zone-3'];
 	const deployment = await createFakeDeployment({
--- a/packages/testkit/src/tests/server/hostile-callers.test.ts
+++ b/packages/testkit/src/tests/server/hostile-callers.test.ts
@@ -28,7 +28,7 @@
 	return chunks.join('');
 }
 
-test('malformed requests, large bodies, bad tokens and broken sockets are refused, and the proxy goes on', async t => {
+test('malformed requests, oversized bodies, invalid session tokens and aborted connections are refused, and the proxy keeps serving', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const validBody = JSON.stringify({route: 'orders.get', parameters: {key: 'k'}});
@@ -38,7 +38,7 @@
 	t.is((await sendRequest(local, validBody, {'connect-timeout-ms': 'soon'})).status, 400);
 	t.is((await sendRequest(local, validBody, {'idempotency-key': 'k'.repeat(201)})).status, 400);
 	const answer = JSON.parse((await sendRequest(local, validBody)).text) as {session: string};
-	// A forged token differs from the genuine one whatever that begins with.
+	// Replaces the first character by a different one.
 	const forgedToken = `${answer.session.startsWith('A') ? 'B' : 'A'}${answer.session.slice(1)}`;
 	for (const session of [answer.session.slice(0, -3), forgedToken, 'x', 'x'.repeat(9000)]) {
 		const refused = await sendRequest(local, JSON.stringify({route: 'orders.get', parameters: {key: 'k'}, session}));
