--- a/packages/testkit/src/cluster/vm-process.ts
+++ b/packages/testkit/src/cluster/vm-process.ts
@@ -4,15 +4,15 @@
 import {fileURLToPath} from 'node:url';
 import process from 'node:process';
 
-/** Ports that a daemon has bound. */
+/** Ports that a daemon is bound to. */
 export type VmPorts = {readonly caller: number; readonly peer: number; readonly operator: number};
 
-/** State of a VM as the test knows it. */
+/** State of a daemon process. */
 export type VmState = 'starting' | 'up' | 'draining' | 'paused' | 'gone';
 
 const daemonPath = fileURLToPath(import.meta.resolve('@chicorysaddle/proxy').replace(/dist\/index\.js$/v, 'bin/chicorysaddled.js'));
 
-/** CPU time used, in milliseconds. */
+/** Reads the CPU time that a process has used, in milliseconds. */
 export async function readCpuMs(pid: number): Promise<number> {
 	const text = await readFile(`/proc/${pid}/stat`, 'utf8');
 	const fields = text.slice(text.lastIndexOf(')') + 2).split(' ');
@@ -20,7 +20,7 @@
 	return (Number(fields[11]) + Number(fields[12])) * msPerTick;
 }
 
-/** One daemon, run as a process of its own. */
+/** Daemon in a child process. */
 export class VmProcess {
 	state: VmState = 'starting';
 	ports: VmPorts = {caller: 0, peer: 0, operator: 0};
@@ -34,26 +34,26 @@
 		return this.#child?.pid ?? 0;
 	}
 
-	/** Starts the daemon and waits until its ports are bound. */
+	/** Starts the daemon and waits until its ports are bound; throws if it exits first. */
 	async start(settingsFile: string): Promise<void> {
 		this.state = 'starting';
 		this.isReady = false;
-		const child = spawn(process.execPath, [daemonPath, settingsFile], {stdio: ['ignore', 'pipe', 'inherit']});
-		this.#child = child;
-		child.once('exit', () => {
-			if (this.#child === child) {
+		const daemon = spawn(process.execPath, [daemonPath, settingsFile], {stdio: ['ignore', 'pipe', 'inherit']});
+		this.#child = daemon;
+		daemon.once('exit', () => {
+			if (this.#child === daemon) {
 				this.state = 'gone';
 				this.isReady = false;
 			}
 		});
 		await new Promise<void>((resolve, reject) => {
-			child.once('exit', code => {
-				reject(new Error(`${this.name} ended with ${code}`));
+			daemon.once('exit', code => {
+				reject(new Error(`${this.name} exited with code ${code} before its ports were bound`));
 			});
-			let rest = '';
-			child.stdout.on('data', chunk => {
-				const lines = (rest + String(chunk)).split('\n');
-				rest = lines.pop() ?? '';
+			let partialLine = '';
+			daemon.stdout.on('data', chunk => {
+				const lines = (partialLine + String(chunk)).split('\n');
+				partialLine = lines.pop() ?? '';
 				for (const line of lines) {
 					this.logs.push(line);
 					if (line.includes('"proxy started"')) {
@@ -67,7 +67,7 @@
 		this.state = 'up';
 	}
 
-	/** Returns the resident memory, in megabytes. */
+	/** Reads the resident memory of the daemon, in megabytes. */
 	async readMemoryMb(): Promise<number> {
 		const status = await readFile(`/proc/${this.pid}/status`, 'utf8');
 		return Number(/VmRSS:\s+(?<kb>\d+)/v.exec(status)?.groups?.kb ?? 0) / 1024;
@@ -89,7 +89,7 @@
 		this.#child?.kill('SIGCONT');
 	}
 
-	/** Shuts down gracefully and returns the exit code. */
+	/** Shuts down the daemon with SIGTERM and returns its exit code. */
 	async drain(): Promise<number> {
 		this.state = 'draining';
 		const child = this.#child!;
--- a/packages/testkit/src/stand-ins/platform-server.ts
+++ b/packages/testkit/src/fakes/fake-platform.ts
@@ -9,20 +9,21 @@
 } from '@chicorysaddle/protocol';
 import {type ListedVm} from '@chicorysaddle/store';
 
-const sourceKey = createContextKey<string>('', {description: 'source address'});
+const sourceAddressKey = createContextKey<string>('', {description: 'source address'});
 
-/** A platform that keeps its table, objects and VM list in memory, with faults. */
-export class PlatformServer {
-	/** Whether the table and the object store answer. */
+/** In-memory platform services (table, object store and VM list) with injectable faults. */
+export class FakePlatform {
+	/** Whether the table and the object store are unavailable. */
 	isDown = false;
-	/** Delay of every answer, in milliseconds. */
-	delayMs = 2;
-	/** Returns whether the answer to a write is lost after it took effect. */
-	isAnswerLost: () => boolean = () => false;
-	/** Source addresses that reach neither table nor object store. */
+	/** Delay of each response of the table and the object store, in milliseconds. */
+	responseDelayMs = 2;
+	/** Returns whether the response to a table write is lost after the write was applied. */
+	isWriteResponseLost: () => boolean = () => false;
+	/** Source addresses for which the table and the object store are unavailable. */
 	readonly blockedSources = new Set<string>();
-	/** Returns the list as a caller at an address sees it. */
+	/** Returns the VM list for a source address. */
 	listVms: (source: string) => ListedVm[] = () => [];
+	/** Number of table operations received. */
 	readonly counters = {reads: 0, writes: 0};
 	readonly #rows = new Map<string, {version: number; value: string}>();
 	readonly #objects = new Map<string, Uint8Array>();
@@ -38,35 +39,35 @@
 				router.service(TableService, {
 					read: async (request, context) => {
 						this.counters.reads += 1;
-						await this.#pass(context.values.get(sourceKey));
+						await this.#injectFaults(context.values.get(sourceAddressKey));
 						return this.#read(request);
 					},
 					compareAndSet: async (request, context) => {
 						this.counters.writes += 1;
-						await this.#pass(context.values.get(sourceKey));
-						const answer = this.#compareAndSet(request);
-						if (this.isAnswerLost()) {
-							throw new ConnectError('answer lost', Code.Unavailable);
+						await this.#injectFaults(context.values.get(sourceAddressKey));
+						const response = this.#compareAndSet(request);
+						if (this.isWriteResponseLost()) {
+							throw new ConnectError('injected fault: the write was applied but its response is lost', Code.Unavailable);
 						}
 
-						return answer;
+						return response;
 					},
 				});
 				router.service(ObjectService, {
 					put: async (request, context) => {
-						await this.#pass(context.values.get(sourceKey));
+						await this.#injectFaults(context.values.get(sourceAddressKey));
 						this.#objects.set(request.key, request.body);
 						return {};
 					},
 					get: async (request, context) => {
-						await this.#pass(context.values.get(sourceKey));
+						await this.#injectFaults(context.values.get(sourceAddressKey));
 						const body = this.#objects.get(request.key);
 						return {found: body !== undefined, body: body ?? new Uint8Array()};
 					},
 				});
-				router.service(VmListService, {list: (_request, context) => ({vms: this.listVms(context.values.get(sourceKey))})});
+				router.service(VmListService, {list: (_request, context) => ({vms: this.listVms(context.values.get(sourceAddressKey))})});
 			},
-			contextValues: request => createContextValues().set(sourceKey, request.socket.remoteAddress ?? ''),
+			contextValues: request => createContextValues().set(sourceAddressKey, request.socket.remoteAddress ?? ''),
 		});
 		this.#server = createServer(adapter);
 		await new Promise<void>(resolve => {
@@ -78,12 +79,12 @@
 		this.#server?.close();
 	}
 
-	async #pass(source: string): Promise<void> {
+	async #injectFaults(source: string): Promise<void> {
 		await new Promise(resolve => {
-			setTimeout(resolve, this.delayMs);
+			setTimeout(resolve, this.responseDelayMs);
 		});
 		if (this.isDown || this.blockedSources.has(source)) {
-			throw new ConnectError('the store is out', Code.Unavailable);
+			throw new ConnectError('injected fault: the store is unavailable', Code.Unavailable);
 		}
 	}
 
--- a/packages/testkit/src/history/history.ts
+++ b/packages/testkit/src/history/history.ts
@@ -1,13 +1,13 @@
-import {type EndpointEvent, type LogEntry} from '../stand-ins/index.js';
+import {type EndpointEvent, type LogEntry} from '../fakes/index.js';
 
-/** What became of a call, as its caller saw it. */
+/** Outcome of a call, as seen by its caller. */
 export type CallOutcome =
 	| {readonly kind: 'answered'; readonly value: string | undefined; readonly rowKey: string | undefined; readonly servedBy: string}
 	| {readonly kind: 'refused'; readonly refusal: string; readonly ran: string}
-	/** The connection broke before the answer. */
+	/** The connection failed before a response arrived. */
 	| {readonly kind: 'broken'};
 
-/** One call, as its caller saw it. */
+/** One call, as seen by its caller. Times are in milliseconds on the monotonic clock. */
 export type CallRecord = {
 	readonly sentAt: number;
 	readonly endedAt: number;
@@ -19,47 +19,47 @@
 	readonly session: number;
 	readonly group: string;
 	readonly action: 'read' | 'write' | 'begin' | 'statement' | 'commit';
-	/** Row that the call was about. */
+	/** Key of the row that the call reads or writes. */
 	readonly rowKey: string;
-	/** Unique mark of what the call wrote, empty for none. */
+	/** Unique tag of the write; empty if the call writes nothing. */
 	readonly tag: string;
-	/** Marks that the session knew to be acknowledged when the call was sent. */
-	readonly knownTags: readonly string[];
-	/** Whether only a refusal is right. */
+	/** Tags of the writes that were acknowledged to the session before the call was sent. */
+	readonly acknowledgedTags: readonly string[];
+	/** Whether a refusal is the only correct outcome. */
 	readonly mustBeRefused: boolean;
 	readonly outcome: CallOutcome;
 };
 
-/** A version seen at a VM. */
-export type VersionSighting = {readonly at: number; readonly vm: string; readonly pid: number; readonly version: number; readonly isReady: boolean};
+/** Configuration version that a VM reported. */
+export type VersionObservation = {readonly at: number; readonly vm: string; readonly pid: number; readonly version: number; readonly isReady: boolean};
 
-/** When an instance began to lead a term. */
+/** Time at which an instance became the primary of a term. */
 export type PromotionRecord = {readonly at: number; readonly group: string; readonly term: number};
 
-/** Limits of an account, from a time on. */
-export type LimitRecord = {readonly account: string; readonly rate: number; readonly burst: number};
+/** Rate limit of an account, in calls per second and calls. */
+export type AccountLimits = {readonly account: string; readonly rate: number; readonly burst: number};
 
-/** Everything recorded in a run, from the callers' side and the stand-ins' side. */
+/** Records of a run, from the callers and from the fakes. */
 export type History = {
 	readonly calls: CallRecord[];
 	readonly events: EndpointEvent[];
-	readonly versions: VersionSighting[];
-	readonly accepted: Array<{readonly at: number; readonly version: number}>;
-	readonly withdrawals: Array<{readonly at: number; readonly key: string}>;
-	readonly leavings: Array<{readonly at: number; readonly instance: string}>;
-	readonly limits: LimitRecord[];
-	/** Time at which a fault hit a group's primary. */
-	readonly failures: Array<{readonly at: number; readonly group: string}>;
-	/** Log lines of the daemons, for finding causes only. */
-	readonly logs: string[];
-	readonly groupOfInstance: Map<string, string>;
-	/** Log of each group's last primary at the end. */
-	readonly finalLogs: Map<string, readonly LogEntry[]>;
+	readonly observedVersions: VersionObservation[];
+	readonly acceptedVersions: Array<{readonly at: number; readonly version: number}>;
+	readonly keyWithdrawals: Array<{readonly at: number; readonly key: string}>;
+	readonly leavingEndpoints: Array<{readonly at: number; readonly instance: string}>;
+	readonly limits: AccountLimits[];
+	/** Times at which a group's primary was made to fail. */
+	readonly primaryFailures: Array<{readonly at: number; readonly group: string}>;
+	/** Log lines of the daemons, for diagnosis; no check reads them. */
+	readonly daemonLogs: string[];
+	readonly groupByInstance: Map<string, string>;
+	/** Log of each group's primary at the end of the run. */
+	readonly finalPrimaryLogs: Map<string, readonly LogEntry[]>;
 };
 
 /** Creates an empty history. */
 export function createHistory(): History {
 	return {
-		calls: [], events: [], versions: [], accepted: [], withdrawals: [], leavings: [], limits: [], failures: [], logs: [], groupOfInstance: new Map(), finalLogs: new Map(),
+		calls: [], events: [], observedVersions: [], acceptedVersions: [], keyWithdrawals: [], leavingEndpoints: [], limits: [], primaryFailures: [], daemonLogs: [], groupByInstance: new Map(), finalPrimaryLogs: new Map(),
 	};
 }
