--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -37,43 +37,43 @@
 /** Interval between reads of the store while no coordinator answers, in milliseconds. */
 const storePollIntervalMs = 400;
 
-/** Interval between reads while the store does not answer either, in milliseconds: the timeout of a call. */
+/** Interval between reads while the store does not answer either, in milliseconds; equals the timeout of a call. */
 const unavailableStorePollIntervalMs = 800;
 
-/** Additional delay before a VM without any capacity acquires a vacant lease, compared to one at full capacity, in milliseconds. */
+/** Maximum delay before a VM acquires a vacant lease, in milliseconds: for a VM without any capacity; one at full capacity does not wait. */
 const maxElectionDelayMs = 1000;
 
-/** Time without a renewal after which the coordinator looks for a VM that reaches the store, in milliseconds. */
+/** Time without a renewal of the lease after which the coordinator offers its role to VMs that reach the store, in milliseconds. */
 const offerThresholdMs = 2200;
 
-/** Time within which a VM that is offered the coordination has to reach the store, in milliseconds. */
+/** Timeout of the read by which a VM that is offered the role checks that it reaches the store, in milliseconds. */
 const offerTimeoutMs = 400;
 
-/** Interval between such offers, in milliseconds. */
+/** Interval between offers of the coordinator role, in milliseconds. */
 const offerIntervalMs = 500;
 
-/** Minimum time for which a coordinator stays before it may resign for being slow, in milliseconds. */
+/** Minimum time between the acquisition of the lease and a resignation for being slow, in milliseconds. */
 const minTenureMs = 3000;
 
-/** How long a VM that resigned for being slow does not acquire the lease again, in milliseconds. */
+/** Time for which a VM that resigned for being slow does not acquire the lease again, in milliseconds. */
 const slowVmBackoffMs = 15_000;
 
-/** How long a follower waits to read a configuration version from the store that another VM has, in milliseconds. */
+/** How long a follower polls the store for a reported configuration version before it requests the version from the coordinator, in milliseconds. */
 const followerWaitMs = 300;
 
-/** How long a leaving VM continues a change of primary, in milliseconds: a promotion and its preparation. */
+/** Maximum time for which a leaving coordinator waits for another VM to take over, in milliseconds: it covers a running change of primary. */
 const handOverTimeoutMs = 2500;
 
-/** Minimum time between two reads of the configuration, in milliseconds: versions in quick succession are read as one. */
+/** Minimum time between two reads of the configuration after reports, in milliseconds: of versions in quick succession, only the last is read. */
 const refreshIntervalMs = 500;
 
 /** Timeout of a call to the store, in milliseconds. */
 const callTimeoutMs = 800;
 
-/** Time without a heartbeat after which the coordinator removes a VM's row, in milliseconds. */
+/** Time without a heartbeat after which the coordinator removes a VM's row from the store, in milliseconds. */
 const memberTimeoutMs = 20_000;
 
-/** Interval at which the coordinator checks the members, in milliseconds. */
+/** Interval at which the coordinator reads the registered VMs and removes silent ones, in milliseconds. */
 const memberCheckIntervalMs = 5000;
 
 /** Dependencies of a `ClusterMember`. */
@@ -102,31 +102,37 @@
 	#timer: NodeJS.Timeout | undefined;
 	#link: PeerLink | undefined;
 	#linkAddress = '';
-	/** Peer address of the coordinator according to another VM. */
+	/** Peer address of the coordinator as learned from other VMs, undefined if unknown; takes precedence over the address in the row. */
 	#coordinatorHint: string | undefined;
-	/** Time at which such an address was last contacted without delay. */
-	#hintFollowedAt = Number.NEGATIVE_INFINITY;
+	/** Monotonic time at which a hinted address was last contacted at once instead of at the normal interval, in milliseconds. */
+	#hintContactedAt = Number.NEGATIVE_INFINITY;
 	#linkOpenedAt = Number.NEGATIVE_INFINITY;
 	#coordinatorRow: CoordinatorRow | undefined;
 	#registeredVersion = 0;
+	/** Whether the store has a row of this process, as of the last read or write. */
 	#isRegistered = false;
 	#heartbeatSentAt = Number.NEGATIVE_INFINITY;
 	#coordinatorAnsweredAt = Number.NEGATIVE_INFINITY;
 	#storePolledAt = Number.NEGATIVE_INFINITY;
 	#isPollingStore = false;
-	/** Time at which a newer configuration was last requested. */
+	/** Monotonic time at which a report last led to a read of the configuration, in milliseconds. */
 	#configurationRefreshedAt = Number.NEGATIVE_INFINITY;
 	#isStoreUnavailable = false;
 	/** Current interval between reads of the store, in milliseconds. */
 	#storePollIntervalMs = storePollIntervalMs;
 	#membersCheckedAt = 0;
 	#isHeartbeatUrgent = false;
+	/** Whether the next tick sends reports, since the instances have changed. */
 	#isReportPushDue = false;
 	#isLeaving = false;
+	/** Monotonic time since which the lease has been vacant, in milliseconds; undefined while it is held. */
 	#vacantSince: number | undefined;
+	/** Monotonic time before which this VM does not acquire the lease, in milliseconds. */
 	#ineligibleUntil = 0;
 	#handOverOfferedAt = 0;
+	/** Whether the coordinator has chosen this VM to read the store as well. */
 	#isFollower = false;
+	/** Revision of the last reported instance list; undefined to have the coordinator report the whole list. */
 	#instanceRevision: string | undefined;
 
 	readonly #lagMonitor = new EventLoopLagMonitor(tickIntervalMs);
@@ -158,6 +164,7 @@
 		});
 	}
 
+	/** Listens for other VMs and starts the main loop. */
 	async start(): Promise<void> {
 		this.#server = await this.dependencies.network.listen(this.dependencies.identity.peerAddress, link => ({
 			onMessage: message => {
@@ -170,30 +177,31 @@
 		this.#scheduleTick();
 	}
 
+	/** Stops the main loop and closes the coordinator link and the server; keeps the lease and the row of this VM. */
 	stop(): void {
 		clearTimeout(this.#timer);
 		this.#link?.close();
 		this.#server?.close();
 	}
 
-	/** Hands the coordination over to another VM, after any running change of primary, and releases the lease after a timeout. */
+	/** Hands the coordinator role over to another VM, after any running change of primary; releases the lease if no VM takes over in time. */
 	async handOver(): Promise<void> {
 		this.#isLeaving = true;
 		const deadline = this.dependencies.clock.now() + handOverTimeoutMs;
 		while (this.dependencies.coordinatorLease.isHeld() && this.dependencies.clock.now() < deadline) {
-			// The VM that accepts continues where this one stops.
+			// The VM that accepts resumes any change of primary that is still open.
 			this.dependencies.coordinator.offerHandOver();
 			await new Promise(resolve => {
 				setTimeout(resolve, offerIntervalMs);
 			});
 		}
 
-		await this.dependencies.coordinatorLease.resign();
+		await this.dependencies.coordinatorLease.release();
 	}
 
 	/** Releases the lease and removes this VM from the registered members, so that no VM waits for it. */
 	async leave(): Promise<void> {
-		await this.dependencies.coordinatorLease.resign();
+		await this.dependencies.coordinatorLease.release();
 		if (this.#isRegistered) {
 			await this.dependencies.store.writeSharedRows([{key: getMemberKey(this.dependencies.identity.vm), expectedVersion: this.#registeredVersion, value: undefined}], callTimeoutMs);
 		}
@@ -297,7 +305,7 @@
 		this.#isHeartbeatUrgent = this.#heartbeatBuilder.isDraining();
 	}
 
-	/** Returns a seed VM that may know the coordinator, in rotation, for when the store does not name it. */
+	/** Chooses the address of a seed VM that may know the coordinator, in rotation; returns undefined if there is no other seed. */
 	#chooseSeed(now: number): string | undefined {
 		const seeds = this.dependencies.getSettings().seeds.filter(seed => seed !== this.dependencies.identity.peerAddress);
 		return seeds.length === 0 ? undefined : seeds[Math.floor(now / coordinatorTimeoutMs) % seeds.length];
@@ -374,7 +382,7 @@
 		}
 	}
 
-	/** Steps down in favor of another VM that has just reached the store. */
+	/** Steps down in favor of a VM that has accepted the offer and has just reached the store. */
 	async #handOverTo(link: PeerLink, vm: string, address: string): Promise<void> {
 		if (!this.#isLeaving) {
 			// The store may have become reachable for this VM as well.
@@ -390,7 +398,7 @@
 		}
 	}
 
-	/** Handles the offer of a coordinator that cannot reach the store or is leaving: accepts it, or takes over. */
+	/** Handles the offer of a coordinator that cannot reach the store or is leaving: accepts it on `ask`, acquires the lease on `take-over`. */
 	async #handleOffer(step: 'ask' | 'take-over'): Promise<void> {
 		const at = this.dependencies.terms.getClockReading();
 		const result = await this.dependencies.store.readSharedRows(offerTimeoutMs);
@@ -435,8 +443,8 @@
 				this.#coordinatorAnsweredAt = Number.NEGATIVE_INFINITY;
 				this.#coordinatorHint = message.coordinator === this.#linkAddress ? undefined : message.coordinator;
 				// Keeps the normal interval if two VMs name each other as the coordinator.
-				this.#isHeartbeatUrgent = this.#coordinatorHint !== undefined && this.dependencies.clock.now() - this.#hintFollowedAt > heartbeatIntervalMs;
-				this.#hintFollowedAt = this.#isHeartbeatUrgent ? this.dependencies.clock.now() : this.#hintFollowedAt;
+				this.#isHeartbeatUrgent = this.#coordinatorHint !== undefined && this.dependencies.clock.now() - this.#hintContactedAt > heartbeatIntervalMs;
+				this.#hintContactedAt = this.#isHeartbeatUrgent ? this.dependencies.clock.now() : this.#hintContactedAt;
 				return;
 			}
 
@@ -492,14 +500,14 @@
 		}
 	}
 
-	/** Passes the instances of this VM to the coordinator, if a list has been read. */
+	/** Sets the instances that this VM reports when it is the coordinator, if it has read a list. */
 	#publishInstances(): void {
 		if (this.dependencies.instances.appliedAt !== undefined) {
 			this.dependencies.coordinator.setInstances([...this.dependencies.instances.getInstances()], this.dependencies.clock.now());
 		}
 	}
 
-	/** Gets a newer configuration from the store, or from the coordinator if this VM cannot read it there. */
+	/** Reads a newer configuration from the store, or requests it from the coordinator if that fails. */
 	async #refreshConfiguration(version: number): Promise<void> {
 		const isFollower = this.#isFollower;
 		if (isFollower || !await this.dependencies.configurationWatcher.refresh(version)) {
@@ -554,20 +562,21 @@
 				this.#coordinatorRow = undefined;
 			}
 
-			this.#recordStoreState(result.kind === 'ok', result.kind === 'ok' ? '' : `${result.failure.reason}: ${result.failure.message}`);
+			this.#recordStoreAvailability(result.kind === 'ok', result.kind === 'ok' ? '' : `${result.failure.reason}: ${result.failure.message}`);
 		} finally {
 			this.#isPollingStore = false;
 		}
 	}
 
-	#recordStoreState(isAvailable: boolean, why: string): void {
+	/** Logs when the store becomes unavailable or available again. */
+	#recordStoreAvailability(isAvailable: boolean, reason: string): void {
 		if (this.#isStoreUnavailable === isAvailable) {
 			this.#isStoreUnavailable = !isAvailable;
-			this.dependencies.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'shared rows', why});
+			this.dependencies.log.logEvent(isAvailable ? 'store.regained' : 'store.lost', {call: 'shared rows', why: reason});
 		}
 	}
 
-	/** Returns whether this VM has waited long enough to acquire the vacant lease. VMs with more capacity wait less, since the coordinator answers all others. */
+	/** Returns whether this VM has waited long enough to acquire the vacant lease; VMs with more capacity wait less, since the coordinator serves all others. */
 	#hasElectionDelayPassed(): boolean {
 		const now = this.dependencies.clock.now();
 		this.#vacantSince ??= now;
@@ -582,7 +591,7 @@
 			log.logEvent('coordinator.slow', {lagMs: Math.round(this.#lagMonitor.lagMs)});
 			this.#lagMonitor.reset();
 			this.#ineligibleUntil = now + slowVmBackoffMs;
-			void this.dependencies.coordinatorLease.resign();
+			void this.dependencies.coordinatorLease.release();
 		}
 	}
 
@@ -592,9 +601,9 @@
 			return;
 		}
 
-		const known = parseSharedRows(result.value, this.dependencies.log).members.get(this.dependencies.identity.vm);
+		const registeredRow = parseSharedRows(result.value, this.dependencies.log).members.get(this.dependencies.identity.vm);
 		const value = JSON.stringify({address: this.dependencies.identity.peerAddress, zone: this.dependencies.identity.zone, incarnation: this.dependencies.identity.incarnation});
-		const written = await this.dependencies.store.writeSharedRows([{key: getMemberKey(this.dependencies.identity.vm), expectedVersion: known?.version ?? 0, value}], callTimeoutMs);
+		const written = await this.dependencies.store.writeSharedRows([{key: getMemberKey(this.dependencies.identity.vm), expectedVersion: registeredRow?.version ?? 0, value}], callTimeoutMs);
 		if (written.kind === 'ok' && written.value.isApplied) {
 			this.#isRegistered = true;
 			this.#registeredVersion = written.value.version;
@@ -607,7 +616,7 @@
 			this.dependencies.terms.applyTerm(term);
 		}
 
-		// Only a registered VM may rely on the terms it read: closing a term waits only for registered VMs.
+		// Only a registered VM may rely on the terms that it read, since the closing of a term waits for no others.
 		this.#isRegistered = state.members.get(this.dependencies.identity.vm)?.incarnation === this.dependencies.identity.incarnation;
 		if (this.#isRegistered) {
 			this.#registeredVersion = state.members.get(this.dependencies.identity.vm)!.version;
--- a/packages/gateway/src/coordination/coordinator-lease.ts
+++ b/packages/gateway/src/coordination/coordinator-lease.ts
@@ -4,17 +4,17 @@
 import {type GatewayIdentity} from './gateway-identity.js';
 import {coordinatorKey, type CoordinatorRow, parseSharedRows} from './shared-rows.js';
 
-/** Duration of the lease after its last renewal, in milliseconds: a store outage of that length interrupts nothing. */
+/** Duration of the lease after its last renewal, in milliseconds: a shorter store outage interrupts nothing. */
 const leaseMs = 6000;
 
-/** How much longer than the lease another VM waits before it takes over, in milliseconds. */
+/** Time beyond the duration of the lease that another VM waits before it takes over, in milliseconds. */
 const takeOverMarginMs = 500;
 
 /** Interval between renewals, in milliseconds. */
 const renewalIntervalMs = 1000;
 
-/** Value of the holder field after the lease was released. */
-const vacantHolder = '';
+/** Holder in the row of a released lease. */
+const noHolder = '';
 
 /** Delay before a failed renewal is retried, in milliseconds. */
 const renewalRetryMs = 250;
@@ -26,14 +26,17 @@
 export class CoordinatorLease {
 	readonly #lease = new DualClockLease(leaseMs);
 	#heldRow: CoordinatorRow | undefined;
+	/** Highest known version of the row, and the monotonic time at which it was first observed, in milliseconds. */
 	#observedVersion: {readonly version: number; readonly at: number} | undefined;
-	#renewedAt = Number.NEGATIVE_INFINITY;
-	#uncertainSince: ClockReading | undefined;
+	/** Monotonic time from which the next renewal interval counts, in milliseconds. */
+	#renewalIntervalStartedAt = Number.NEGATIVE_INFINITY;
+	/** Time of the first write since the last renewal whose outcome is unknown. */
+	#unconfirmedWriteAt: ClockReading | undefined;
 	#queue: Promise<unknown> = Promise.resolve();
 	#acquiredAt = 0;
 	/** Highest fencing token of a lease that this process has ended. */
 	#lastEndedToken = 0;
-	/** Number of times this process gained or ended the lease. */
+	/** Number of times this process acquired, resumed or ended the lease. */
 	#transitionCount = 0;
 
 	constructor(private readonly store: CoordinationStore, private readonly identity: GatewayIdentity, private readonly clock: Clock, private readonly log: EventLog) {}
@@ -48,12 +51,12 @@
 		return this.#heldRow?.version ?? 0;
 	}
 
-	/** Monotonic time at which this VM last gained the lease, in milliseconds. */
+	/** Monotonic time at which this VM last acquired or resumed the lease, in milliseconds; 0 if it never did. */
 	get acquiredAt(): number {
 		return this.#acquiredAt;
 	}
 
-	/** Returns the time since the last renewal in milliseconds, 0 when this VM does not hold the lease. */
+	/** Returns the time since the last successful renewal, in milliseconds; at most the duration of the lease, 0 when this VM does not hold it. */
 	getMsSinceRenewal(): number {
 		return this.#heldRow === undefined ? 0 : leaseMs - this.getRemainingMs();
 	}
@@ -63,26 +66,26 @@
 		return this.#heldRow !== undefined && this.#lease.isHeld(this.#getClockReading());
 	}
 
-	/** Returns the remaining time of the lease in milliseconds, 0 when this VM does not hold it. */
+	/** Returns the remaining time of the lease, in milliseconds; 0 when this VM does not hold it. */
 	getRemainingMs(): number {
 		return this.#heldRow === undefined ? 0 : this.#lease.getRemainingMs(this.#getClockReading());
 	}
 
-	/** Records the version of the row, as read from the store or reported by the holder. */
+	/** Records the version of the row, as read from the store or reported by the holder; a new version shows that the holder is alive. */
 	observeVersion(version: number): void {
 		if (this.#observedVersion === undefined || version > this.#observedVersion.version) {
 			this.#observedVersion = {version, at: this.clock.now()};
 		}
 	}
 
-	/** Returns whether the lease is free: released, expired, or held by an earlier process of this VM. */
+	/** Returns whether this VM may acquire the lease: it is released, expired, or held by an earlier process of this VM. */
 	isVacant(row: CoordinatorRow | undefined): boolean {
 		if (row === undefined) {
 			return true;
 		}
 
 		this.observeVersion(row.version);
-		if (row.holder === vacantHolder) {
+		if (row.holder === noHolder) {
 			return true;
 		}
 
@@ -98,7 +101,7 @@
 		const at = this.#getClockReading();
 		const transitionCount = this.#transitionCount;
 		const result = await this.store.writeSharedRows([{key: coordinatorKey, expectedVersion: row?.version ?? 0, value: JSON.stringify(content)}], callTimeoutMs);
-		// A late response is void if the lease was meanwhile resumed from the row, and perhaps ended again.
+		// A late response is ignored if the lease was resumed from the row in the meantime, even if it has ended since.
 		if (result.kind === 'failed' || !result.value.isApplied || transitionCount !== this.#transitionCount) {
 			return false;
 		}
@@ -109,7 +112,10 @@
 		return true;
 	}
 
-	/** Resumes a lease whose acquisition got no response, if the row already names this process. */
+	/**
+	 * Resumes a lease whose acquisition got no response, if the row names this process.
+	 * @param at - Time at which the read of the row began.
+	 */
 	resume(row: CoordinatorRow, at: ClockReading): void {
 		const isOwn = row.holder === this.identity.vm && row.incarnation === this.identity.incarnation;
 		// The row may still show a lease that this process has ended, until the successor writes it.
@@ -120,14 +126,14 @@
 		}
 	}
 
-	/** Ends the lease without writing to the store, which does not answer; another VM has agreed to take over. */
+	/** Ends the lease without a write to the store, which may not answer; another VM has agreed to take over. */
 	stepDown(): void {
 		this.end('handed over');
 	}
 
 	/** Renews the lease if the renewal interval has passed. */
 	async renewIfDue(): Promise<void> {
-		if (this.#heldRow === undefined || this.clock.now() < this.#renewedAt + renewalIntervalMs) {
+		if (this.#heldRow === undefined || this.clock.now() < this.#renewalIntervalStartedAt + renewalIntervalMs) {
 			return;
 		}
 
@@ -136,12 +142,12 @@
 
 	/** Renews the lease now. */
 	async renew(): Promise<void> {
-		this.#renewedAt = this.clock.now();
+		this.#renewalIntervalStartedAt = this.clock.now();
 		await this.#runExclusively(async () => this.#writeAndRenew([]));
 	}
 
 	/**
-	 * Writes rows on condition that this VM still holds the lease; the write also renews it.
+	 * Writes rows only if this VM still holds the lease; the same write renews the lease.
 	 * @returns The version of the written rows, undefined if no write is known to have succeeded.
 	 */
 	async writeRowsIfHeld(writes: readonly SharedRowWrite[]): Promise<number | undefined> {
@@ -149,7 +155,7 @@
 	}
 
 	/** Releases the lease in the store, so that another VM can acquire it at once. */
-	async resign(): Promise<void> {
+	async release(): Promise<void> {
 		const held = this.#heldRow;
 		if (held === undefined) {
 			return;
@@ -158,7 +164,7 @@
 		await this.#runExclusively(async () => {
 			const {version, ...content} = this.#heldRow ?? held;
 			this.end('resigned');
-			await this.store.writeSharedRows([{key: coordinatorKey, expectedVersion: version, value: JSON.stringify({...content, holder: vacantHolder})}], callTimeoutMs);
+			await this.store.writeSharedRows([{key: coordinatorKey, expectedVersion: version, value: JSON.stringify({...content, holder: noHolder})}], callTimeoutMs);
 		});
 	}
 
@@ -173,6 +179,7 @@
 		}
 	}
 
+	/** Writes rows together with the row of the lease; returns their version, undefined if no write is known to have succeeded. */
 	async #writeAndRenew(writes: readonly SharedRowWrite[]): Promise<number | undefined> {
 		const held = this.#heldRow;
 		if (held === undefined) {
@@ -187,14 +194,14 @@
 			return result.value.version;
 		}
 
-		this.#renewedAt = this.clock.now() - renewalIntervalMs + renewalRetryMs;
-		this.#uncertainSince ??= at;
+		this.#renewalIntervalStartedAt = this.clock.now() - renewalIntervalMs + renewalRetryMs;
+		this.#unconfirmedWriteAt ??= at;
 		const outcome = await this.#readBackOutcome(held);
 		const isWritten = outcome !== undefined && writes.length > 0 && writes.every(write => outcome.rows.get(write.key) === write.value);
 		return isWritten ? outcome.version : undefined;
 	}
 
-	/** Reads the rows back to find out whether a write without a usable response was applied; ends the lease if another VM holds it. */
+	/** Reads the rows back after a write that may have been applied; returns undefined if the read fails, or if another VM holds the lease, and then ends it here. */
 	async #readBackOutcome(held: CoordinatorRow): Promise<{readonly version: number; readonly rows: ReadonlyMap<string, string>} | undefined> {
 		const result = await this.store.readSharedRows(callTimeoutMs);
 		if (result.kind === 'failed') {
@@ -208,7 +215,7 @@
 		}
 
 		if (currentRow.version !== held.version) {
-			this.#setHeldRow(currentRow, this.#uncertainSince!);
+			this.#setHeldRow(currentRow, this.#unconfirmedWriteAt!);
 		}
 
 		return {version: currentRow.version, rows: new Map(result.value.map(row => [row.key, row.value]))};
@@ -217,12 +224,13 @@
 	#setHeldRow(row: CoordinatorRow, at: ClockReading): void {
 		this.#transitionCount += this.#heldRow === undefined ? 1 : 0;
 		this.#heldRow = row;
-		this.#uncertainSince = undefined;
+		this.#unconfirmedWriteAt = undefined;
 		this.#lease.renew(at);
-		this.#renewedAt = this.clock.now();
+		this.#renewalIntervalStartedAt = this.clock.now();
 		this.observeVersion(row.version);
 	}
 
+	/** Runs an operation after all earlier ones have ended. */
 	async #runExclusively<T>(operation: () => Promise<T>): Promise<T> {
 		const result = this.#queue.then(operation);
 		this.#queue = result.catch(() => undefined).then(() => undefined);
--- a/packages/gateway/src/coordination/coordinator.ts
+++ b/packages/gateway/src/coordination/coordinator.ts
@@ -8,15 +8,16 @@
 import {termLeaseMs, type TermRegistry} from '../terms/index.js';
 import {type CoordinatorLease} from './coordinator-lease.js';
 
-/** Time without a heartbeat after which a VM's demand and evidence are ignored, in milliseconds. */
+/** Time without a heartbeat after which a VM counts as silent and its evidence is ignored, in milliseconds. */
 const heartbeatTimeoutMs = 1500;
 
-/** Number of VMs besides the coordinator that read the store themselves, so that a coordinator whose calls the store rejects still learns of changes. */
+/** Number of followers: VMs besides the coordinator that read the store, so that a coordinator whose calls the store rejects still learns of changes. */
 const followerCount = 2;
 
-/** Safety margin added when waiting for a lease to expire, in milliseconds. */
+/** Safety margin when waiting for a lease to expire, in milliseconds. */
 const leaseMarginMs = 50;
 
+/** Last heartbeat of a VM; the coordinator's own has no link. */
 type MemberState = {
 	link: PeerLink | undefined;
 	heartbeat: Heartbeat;
@@ -39,14 +40,14 @@
 	readonly #members = new Map<string, MemberState>();
 	readonly #tokenIssuer: TokenIssuer;
 	#registeredVms: ReadonlySet<string> = new Set();
-	/** Undefined until the list has been read: an empty list would mean that every instance is gone. */
+	/** Instances that reports contain; undefined until the list has been read, since an empty list would mean that every instance is gone. */
 	#instances: CoordinatorReport['instances'];
 
 	constructor(private readonly dependencies: CoordinatorDependencies) {
 		this.#tokenIssuer = new TokenIssuer(dependencies.limitWindowMs);
 	}
 
-	/** Number of VMs that may hold a lease or a share, including this one. */
+	/** Number of VMs that may hold a term lease or tokens, including this one. */
 	get memberCount(): number {
 		return new Set([...this.#registeredVms, ...this.#members.keys(), this.dependencies.vm]).size;
 	}
@@ -56,18 +57,24 @@
 		this.#registeredVms = vms;
 	}
 
-	/** Returns the registered VMs that have sent no heartbeat for longer than `silentMs`, in milliseconds. */
+	/**
+	 * Returns the other registered VMs that have sent no heartbeat for longer than a given time.
+	 * @param silentMs - Time without a heartbeat, in milliseconds; it counts at the earliest from when this VM became the coordinator.
+	 */
 	getSilentVms(silentMs: number): string[] {
 		const now = this.dependencies.clock.now();
 		return [...this.#registeredVms].filter(vm => vm !== this.dependencies.vm && now - Math.max(this.#members.get(vm)?.heartbeatAt ?? 0, this.dependencies.coordinatorLease.acquiredAt) > silentMs);
 	}
 
-	/** Drops the state of a VM that is gone. */
+	/** Removes the state of a VM that has left the cluster. */
 	removeMember(vm: string): void {
 		this.#members.delete(vm);
 	}
 
-	/** Records a heartbeat and returns the report that answers it. */
+	/**
+	 * Records a heartbeat and returns the report that answers it.
+	 * @param link - Link to the sender, undefined for the coordinator's own heartbeat.
+	 */
 	handleHeartbeat(heartbeat: Heartbeat, link: PeerLink | undefined): CoordinatorReport {
 		const now = this.dependencies.clock.now();
 		const isDelayed = heartbeat.sequence < (this.#members.get(heartbeat.vm)?.heartbeat.sequence ?? 0)
@@ -105,6 +112,10 @@
 		}
 	}
 
+	/**
+	 * Creates a report of the current state for a VM, without the terms and instances that the VM already has.
+	 * @param sequence - Sequence number of the heartbeat that the report answers, undefined if it answers none.
+	 */
 	createReport(vm: string, sequence: number | undefined): CoordinatorReport {
 		const positions: CoordinatorReport['positions'] = {};
 		const terms = this.dependencies.terms.getTerms();
@@ -132,12 +143,15 @@
 		};
 	}
 
-	/** Sets the instances that reports carry to the VMs. */
+	/**
+	 * Sets the instances that reports contain.
+	 * @param now - Monotonic time, in milliseconds.
+	 */
 	setInstances(entries: readonly Instance[], now: number): void {
 		this.#instances = {revision: `${this.dependencies.coordinatorLease.token}.${Math.round(now)}`, entries: [...entries]};
 	}
 
-	/** Grants a VM tokens for the accounts that it requests. */
+	/** Grants a VM tokens of the accounts in its demands. */
 	issueTokens(vm: string, demands: TokenDemands): TokenGrants {
 		const now = this.dependencies.clock.now();
 		// A closed link means that the process of the VM has ended; a VM that is only silent may still be running and using its tokens.
@@ -155,14 +169,14 @@
 		return grants;
 	}
 
-	/** Returns whether a VM is one of the followers that read the store besides the coordinator. */
+	/** Returns whether a VM is one of the followers: the first live VMs by name. */
 	#isFollower(vm: string): boolean {
 		const now = this.dependencies.clock.now();
 		const liveVms = [...this.#members].filter(([name, member]) => name !== this.dependencies.vm && now - member.heartbeatAt <= heartbeatTimeoutMs).map(([name]) => name).toSorted();
 		return liveVms.indexOf(vm) < followerCount;
 	}
 
-	/** Returns the evidence of the other VMs on a group's primary, with times converted to this VM's clock. */
+	/** Returns the recent evidence of the other VMs on a group's primary, with times converted to this VM's clock. */
 	getPrimaryEvidence(group: string): PrimaryEvidence[] {
 		const now = this.dependencies.clock.now();
 		return [...this.#members].flatMap(([vm, member]) => {
@@ -188,17 +202,17 @@
 	}
 
 	/**
-	 * Returns whether no VM can still act on a term of the group that is older than a revision.
+	 * Returns whether no VM still acts on a revision of a group's term older than the given one: all VMs have acknowledged it, or every term lease from before it has expired.
 	 * @param closedAt - Monotonic time by which the store had acknowledged the revision, in milliseconds.
-	 * @param registered - VMs that were registered in the store after that.
+	 * @param registeredVms - VMs that the store listed after that.
 	 */
-	isTermClosed(group: string, revision: number, closedAt: number, registered: ReadonlySet<string>): boolean {
+	isTermClosed(group: string, revision: number, closedAt: number, registeredVms: ReadonlySet<string>): boolean {
 		const now = this.dependencies.clock.now();
 		if (now < this.dependencies.coordinatorLease.acquiredAt + termLeaseMs + leaseMarginMs) {
 			return false;
 		}
 
-		const others = new Set([...registered, ...this.#members.keys()]);
+		const others = new Set([...registeredVms, ...this.#members.keys()]);
 		others.delete(this.dependencies.vm);
 		const isAcknowledged = [...others].every(vm => (this.#members.get(vm)?.heartbeat.revisions[group] ?? 0) >= revision);
 		return (isAcknowledged && this.dependencies.terms.isDrained(group)) || now >= closedAt + termLeaseMs + leaseMarginMs;
@@ -209,7 +223,7 @@
 			return;
 		}
 
-		// The sender created the heartbeat `ageMs` after it received our timestamp, so no earlier than this.
+		// The sender created the heartbeat `ageMs` after it received this timestamp of the coordinator, so not before this time.
 		const sentAt = heartbeat.echo.stampMs + heartbeat.echo.ageMs;
 		for (const [group, {position, ageMs}] of Object.entries(heartbeat.positions)) {
 			this.dependencies.terms.recordPosition(group, position, Math.min(sentAt, this.dependencies.clock.now()) - ageMs);
--- a/packages/gateway/src/coordination/event-loop-lag-monitor.ts
+++ b/packages/gateway/src/coordination/event-loop-lag-monitor.ts
@@ -1,15 +1,15 @@
-/** Average delay of the loop above which a VM does not coordinate, in milliseconds: its token grants would arrive too late. */
+/** Maximum average delay at which a VM may be the coordinator, in milliseconds: above it, token grants would arrive too late. */
 const maxAverageLagMs = 60;
 
 /** Weight of a new sample in the moving average: the average spans about a second of ticks. */
 const smoothingFactor = 0.05;
 
-/** Cap of a single sample as a multiple of the maximum average, so that one pause of the process does not count as slowness. */
+/** Maximum of a single sample, as a multiple of the maximum average, so that one pause of the process does not count as slowness. */
 const maxSampleFactor = 4;
 
 /** Measures the average delay of a periodic loop in this process. */
 export class EventLoopLagMonitor {
-	#observedAt: number | undefined;
+	#lastTickAt: number | undefined;
 	#lagMs = 0;
 
 	/** @param intervalMs - Interval between two ticks without delay, in milliseconds. */
@@ -20,17 +20,22 @@
 		return this.#lagMs;
 	}
 
-	/** Records a tick of the loop. */
+	/**
+	 * Records a tick of the loop.
+	 * @param now - Monotonic time, in milliseconds.
+	 */
 	recordTick(now: number): void {
-		const lagMs = Math.max(0, now - (this.#observedAt ?? now) - this.intervalMs);
-		this.#observedAt = now;
+		const lagMs = Math.max(0, now - (this.#lastTickAt ?? now) - this.intervalMs);
+		this.#lastTickAt = now;
 		this.#lagMs += (Math.min(lagMs, maxAverageLagMs * maxSampleFactor) - this.#lagMs) * smoothingFactor;
 	}
 
+	/** Returns whether this process is too slow to be the coordinator. */
 	isSlow(): boolean {
 		return this.#lagMs > maxAverageLagMs;
 	}
 
+	/** Resets the average to 0. */
 	reset(): void {
 		this.#lagMs = 0;
 	}
--- a/packages/gateway/src/coordination/gateway-identity.ts
+++ b/packages/gateway/src/coordination/gateway-identity.ts
@@ -1,9 +1,11 @@
 /** Identity of this VM in the cluster. */
 export type GatewayIdentity = {
+	/** Name of this VM. */
 	readonly vm: string;
+	/** Availability zone of this VM. */
 	readonly zone: string;
-	/** Differs between successive processes of one VM. */
+	/** Identifies this process among the successive processes of the VM. */
 	readonly incarnation: string;
-	/** Host and port on which other VMs reach this one. */
+	/** Host and port at which other VMs reach this one. */
 	readonly peerAddress: string;
 };
--- a/packages/gateway/src/coordination/heartbeat-builder.ts
+++ b/packages/gateway/src/coordination/heartbeat-builder.ts
@@ -6,7 +6,7 @@
 import {type TermRegistry} from '../terms/index.js';
 import {type GatewayIdentity} from './gateway-identity.js';
 
-/** Number of sent heartbeats that are kept to match their reports. */
+/** Maximum number of sent heartbeats that are kept for matching with reports. */
 const maxPendingHeartbeats = 8;
 
 /** Dependencies of a `HeartbeatBuilder`. */
@@ -21,20 +21,22 @@
 /** Creates the heartbeats of this VM and records when each was created. */
 export class HeartbeatBuilder {
 	#sequence = 0;
-	#sent: Array<{readonly sequence: number; readonly at: ClockReading}> = [];
+	/** Newest heartbeats, which a report may still answer. */
+	#pendingHeartbeats: Array<{readonly sequence: number; readonly at: ClockReading}> = [];
+	/** Timestamp of the last report, sent back in heartbeats so that the coordinator can convert times to its own clock. */
 	#echo: {readonly stampMs: number; readonly receivedAt: number} | undefined;
 
 	constructor(private readonly dependencies: HeartbeatBuilderDependencies) {}
 
 	/**
-	 * Creates a heartbeat that is to be sent immediately.
+	 * Creates a heartbeat; it has to be sent at once, since it contains ages as of now.
 	 * @param instanceRevision - Revision of the instance list that this VM last received.
 	 */
 	createHeartbeat(instanceRevision: string | undefined): Heartbeat {
 		const {identity, terms, configuration, clock} = this.dependencies;
 		const now = clock.now();
 		this.#sequence += 1;
-		this.#sent = [...this.#sent, {sequence: this.#sequence, at: terms.getClockReading()}].slice(-maxPendingHeartbeats);
+		this.#pendingHeartbeats = [...this.#pendingHeartbeats, {sequence: this.#sequence, at: terms.getClockReading()}].slice(-maxPendingHeartbeats);
 		return {
 			kind: 'heartbeat',
 			vm: identity.vm,
@@ -54,10 +56,10 @@
 		return this.dependencies.terms.getTerms().some(term => this.dependencies.terms.getDrainedRevision(term.group) !== term.revision);
 	}
 
-	/** Records a report; returns the time of the heartbeat that it answers, undefined if it answers none that is kept. */
+	/** Records a report; returns the time of the heartbeat that it answers, undefined if it answers none of the last ones. */
 	recordReport(report: CoordinatorReport): ClockReading | undefined {
 		this.#echo = {stampMs: report.stampMs, receivedAt: this.dependencies.clock.now()};
-		return this.#sent.find(heartbeat => heartbeat.sequence === report.sequence)?.at;
+		return this.#pendingHeartbeats.find(heartbeat => heartbeat.sequence === report.sequence)?.at;
 	}
 
 	#createPositions(): Heartbeat['positions'] {
--- a/packages/gateway/src/coordination/promoter.ts
+++ b/packages/gateway/src/coordination/promoter.ts
@@ -13,23 +13,23 @@
 import {type CoordinatorLease} from './coordinator-lease.js';
 import {getTermKey, parseSharedRows, type TermContent} from './shared-rows.js';
 
-/** Reason for replacing the primary of a group. */
+/** Reason for replacing the primary of a group; `gone`: it is no longer listed, `resumed`: an unfinished change left the term in phase `closing`. */
 type PromotionReason = 'crashed' | 'gone' | 'draining' | 'resumed';
 
-/** How long pending writes may still complete once a term closes, in milliseconds by reason. A planned change waits for a slow statement. */
+/** How long pending writes may still complete once a term closes, in milliseconds, by reason; only a planned change waits for slow statements. */
 const drainMsByReason: Readonly<Record<PromotionReason, number>> = {
 	crashed: 0, gone: 0, draining: 300, resumed: 0,
 };
 
 type InstanceWithStatus = {readonly instance: Instance; readonly status: InstanceStatus};
 
-/** Timeout of a status request to an instance, in milliseconds. */
+/** Timeout of a status request to an instance and of a read of the registered VMs, in milliseconds. */
 const statusTimeoutMs = 400;
 
-/** How long a planned change of primary waits for its successor to catch up, in milliseconds. */
+/** Maximum time for which a change of primary waits for the successor to catch up with a primary that still answers, in milliseconds. */
 const catchUpTimeoutMs = 1500;
 
-/** How long a status request to a busy instance is retried, in milliseconds. */
+/** Maximum time for which a status request to a busy instance is retried, in milliseconds. */
 const busyRetryTimeoutMs = 800;
 
 /** Polling interval of the wait loops, in milliseconds. */
@@ -38,13 +38,13 @@
 /** Timeout of a promotion call to the platform, in milliseconds. */
 const promoteTimeoutMs = 2500;
 
-/** How long a promoted instance may take to become the primary, in milliseconds: several times what deployments state. */
+/** Maximum time from the first promotion request until the instance is the primary, in milliseconds: several times the promotion time that deployments state. */
 const promotionEffectTimeoutMs = 4000;
 
-/** Delay before a failed procedure is retried, in milliseconds. */
+/** Delay before a failed change of primary is retried, in milliseconds. */
 const retryDelayMs = 200;
 
-/** Minimum remaining time of the coordinator lease for requesting a promotion, in milliseconds. */
+/** Minimum remaining time of the coordinator lease at which a promotion is requested, in milliseconds. */
 const minRemainingLeaseMs = 500;
 
 /** Account name of the gateway's own connections to instances. */
@@ -67,16 +67,16 @@
 	readonly metrics: GatewayMetrics;
 };
 
-/** Ensures that each group has one primary; promotes a successor only after no VM uses the former primary any more. */
+/** Ensures that each group has one primary; promotes a successor only when no VM uses the former primary any more. */
 export class Promoter {
 	readonly #groupsInProgress = new Set<string>();
-	#replacementCount = 0;
+	#runningReplacements = 0;
 
 	constructor(private readonly dependencies: PromoterDependencies) {}
 
 	/** Whether the primary of any group is being replaced. */
 	get isReplacingPrimary(): boolean {
-		return this.#replacementCount > 0;
+		return this.#runningReplacements > 0;
 	}
 
 	/** Checks every group and starts the due changes of primary. Does nothing unless this VM is the coordinator and has read the instances. */
@@ -103,11 +103,11 @@
 
 			const reason = this.#findPromotionReason(term);
 			if (reason !== undefined && (reason !== 'crashed' || !await this.#isPrimaryAnswering(term))) {
-				this.#replacementCount += 1;
+				this.#runningReplacements += 1;
 				try {
 					await this.#replacePrimary(term, reason);
 				} finally {
-					this.#replacementCount -= 1;
+					this.#runningReplacements -= 1;
 				}
 			}
 		} catch (error) {
@@ -136,7 +136,7 @@
 		return isPrimaryDead(term.primaryId, evidence, this.dependencies.coordinator.countLiveVms(), this.dependencies.clock.now()) ? 'crashed' : undefined;
 	}
 
-	/** Returns whether a primary that VMs report as dead still answers; an answer that it is busy counts. */
+	/** Returns whether a primary that VMs report as dead still answers this VM, if only that it is busy. */
 	async #isPrimaryAnswering(term: GroupTerm): Promise<boolean> {
 		const instance = this.dependencies.instances.getInstance(term.primaryId);
 		const reading = instance === undefined ? 'unreachable' : await this.#readStatus(instance);
@@ -187,11 +187,13 @@
 		this.dependencies.metrics.addCount('promotions');
 	}
 
+	/** Waits until no VM acts on an older revision of the term; returns false if the coordinator lease ends first. */
 	async #waitUntilClosed(closedTerm: GroupTerm): Promise<boolean> {
 		const closedAt = this.dependencies.clock.now();
 		const result = await this.dependencies.store.readSharedRows(statusTimeoutMs);
-		const registered = result.kind === 'ok' ? new Set(parseSharedRows(result.value, this.dependencies.log).members.keys()) : undefined;
-		while (!this.dependencies.coordinator.isTermClosed(closedTerm.group, closedTerm.revision, closedAt, registered ?? new Set(['an unknown VM']))) {
+		const registeredVms = result.kind === 'ok' ? new Set(parseSharedRows(result.value, this.dependencies.log).members.keys()) : undefined;
+		// Without the list of registered VMs, an unknown name that never acknowledges makes the wait last until the term leases have expired.
+		while (!this.dependencies.coordinator.isTermClosed(closedTerm.group, closedTerm.revision, closedAt, registeredVms ?? new Set(['an unknown VM']))) {
 			if (!this.dependencies.coordinatorLease.isHeld()) {
 				return false;
 			}
@@ -202,10 +204,10 @@
 		return true;
 	}
 
-	/** Returns the new primary: the instance that was already promoted, otherwise the most advanced one after promoting it. */
+	/** Finds the new primary: an instance that was already promoted, otherwise the most advanced one, which it promotes; returns undefined if none could be promoted. */
 	async #findSuccessor(closedTerm: GroupTerm, reason: PromotionReason): Promise<InstanceWithStatus | undefined> {
-		const all = this.dependencies.instances.getGroupInstances(closedTerm.group);
-		const readings = await this.#readStatuses(all);
+		const instances = this.dependencies.instances.getGroupInstances(closedTerm.group);
+		const readings = await this.#readStatuses(instances);
 		const primary = findPrimary(readings.filter(reading => reading.status.term > closedTerm.term));
 		if (primary !== undefined) {
 			return primary;
@@ -213,7 +215,7 @@
 
 		const formerPrimary = readings.find(reading => reading.instance.id === closedTerm.primaryId && reading.status.role === 'primary');
 		if (formerPrimary?.instance.state === 'ready' && reason === 'resumed') {
-			// The procedure was interrupted before any promotion, and the former primary is healthy.
+			// The earlier change was interrupted before any promotion, and the former primary is healthy.
 			return formerPrimary;
 		}
 
@@ -243,6 +245,7 @@
 		}
 	}
 
+	/** Promotes an instance and waits until it is the primary; returns undefined if the request is rejected, the lease is about to expire, or the time is up. */
 	async #promote(closedTerm: GroupTerm, instance: Instance): Promise<InstanceWithStatus | undefined> {
 		const deadline = this.dependencies.clock.now() + promotionEffectTimeoutMs;
 		while (this.dependencies.clock.now() < deadline) {
@@ -283,6 +286,7 @@
 		return undefined;
 	}
 
+	/** Writes the row of a group's term and reports it to all VMs; returns undefined if the write is not known to have succeeded. */
 	async #writeTerm(group: string, revision: number, content: TermContent): Promise<GroupTerm | undefined> {
 		const version = await this.dependencies.coordinatorLease.writeRowsIfHeld([{key: getTermKey(group), expectedVersion: revision, value: JSON.stringify(content)}]);
 		if (version === undefined) {
@@ -300,7 +304,7 @@
 		return readings.filter(reading => reading !== undefined);
 	}
 
-	/** Reads the status of an instance, retrying while it is busy. */
+	/** Reads the status of an instance and retries while it is busy; returns undefined if it stays busy or is unreachable. */
 	async #readStatusWithRetry(instance: Instance): Promise<InstanceWithStatus | undefined> {
 		const deadline = this.dependencies.clock.now() + busyRetryTimeoutMs;
 		for (;;) {
--- a/packages/gateway/src/coordination/shared-rows.ts
+++ b/packages/gateway/src/coordination/shared-rows.ts
@@ -21,16 +21,16 @@
 	term: number, primaryId: string, phase: oneOf([exactly('open'), exactly('closing')]), drainMs: number,
 });
 
-/** Row that names the coordinator. */
+/** Row that names the coordinator, with its version in the store. */
 export type CoordinatorRow = GetType<typeof coordinatorCodec> & {readonly version: number};
 
-/** Row in which a VM registered itself. */
+/** Row in which a VM registered itself, with its version in the store. */
 export type MemberRow = GetType<typeof memberCodec> & {readonly vm: string; readonly version: number};
 
 /** Content of a group's term row. */
 export type TermContent = GetType<typeof termCodec>;
 
-/** All shared rows from a single read. */
+/** Content of all shared rows, from a single read. */
 export type SharedState = {
 	readonly coordinator: CoordinatorRow | undefined;
 	readonly members: ReadonlyMap<string, MemberRow>;
@@ -91,7 +91,7 @@
 	try {
 		return JSON.parse(row.value);
 	} catch {
-		// The codec rejects the undefined value, and the row is logged.
+		// The codec rejects undefined, so the row is logged as unreadable.
 		return undefined;
 	}
 }
--- a/packages/gateway/src/coordination/tcp-peer-network.ts
+++ b/packages/gateway/src/coordination/tcp-peer-network.ts
@@ -4,10 +4,10 @@
 	type PeerHandlers, type PeerLink, type PeerServer, type PeerNetwork,
 } from '../ports/index.js';
 
-/** Maximum length of a line between VMs, in characters: fits a configuration with thousands of routes. */
+/** Maximum length of a line between VMs, in characters; it fits a configuration with thousands of routes. */
 const maxLineLength = 16_777_216;
 
-/** Connection between two VMs that carries one JSON message per line. */
+/** Connection between two VMs with one JSON message per line; closes itself when a line is too long. */
 class LinePeerLink implements PeerLink {
 	#buffer = '';
 	#isOpen = true;
@@ -63,7 +63,7 @@
 	readonly port: number;
 };
 
-/** Parses `HOST:PORT`; the host is all before the last colon. */
+/** Parses `HOST:PORT`; the host is everything before the last colon. Neither part is validated. */
 export function parseSocketAddress(text: string): SocketAddress {
 	const colon = text.lastIndexOf(':');
 	return {host: text.slice(0, colon), port: Number(text.slice(colon + 1))};
--- a/packages/gateway/src/coordination/token-client.ts
+++ b/packages/gateway/src/coordination/token-client.ts
@@ -12,7 +12,7 @@
 	/** @param vm - Name of this VM. */
 	constructor(private readonly vm: string) {}
 
-	/** Requests tokens; resolves to undefined if no grant arrives in time. */
+	/** Requests tokens; resolves to undefined if no grants arrive in time. */
 	async requestTokens(link: PeerLink, demands: TokenDemands): Promise<TokenGrants | undefined> {
 		this.#sequence += 1;
 		const sequence = this.#sequence;
@@ -32,7 +32,7 @@
 		});
 	}
 
-	/** Resolves the request with this sequence number; ignores grants that arrive after the timeout. */
+	/** Resolves the request with a sequence number; ignores grants that arrive after the timeout. */
 	handleGrants(sequence: number, grants: TokenGrants): void {
 		this.#pendingRequests.get(sequence)?.(grants);
 	}
--- a/packages/gateway/src/tests/coordination/failover.test.ts
+++ b/packages/gateway/src/tests/coordination/failover.test.ts
@@ -6,7 +6,7 @@
 
 const {read, write} = statements;
 
-/** Waits until the group has another primary; returns the time it took in milliseconds, `Infinity` on timeout. */
+/** Waits until the group has another primary; returns the time that it took, in milliseconds, `Infinity` on timeout. */
 async function waitForPromotion(cluster: TestCluster, formerPrimary: FakeInstance, timeoutMs: number): Promise<number> {
 	const startedAt = cluster.time.now();
 	while (cluster.time.now() < startedAt + timeoutMs) {
@@ -92,7 +92,7 @@
 	cluster.stop();
 });
 
-test.serial('an isolated VM stops using the old primary before its successor serves', async t => {
+test.serial('an isolated VM stops using the former primary before its successor serves', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
 	const coordinator = cluster.getCoordinator();
@@ -101,7 +101,7 @@
 	const isolatedCaller = cluster.openSession(isolated, 'strict');
 	const callers = others.map(vm => cluster.openSession(vm, 'strict'));
 	await sendWrites(cluster, [isolatedCaller, ...callers], 2);
-	// The isolated VM still reaches the old primary, but neither the store nor any other VM; the others do not reach that primary.
+	// The isolated VM still reaches the former primary, but neither the store nor any other VM; the others do not reach that primary.
 	cluster.network.isolatedVms.add(isolated);
 	cluster.store.faultsByVm.set(isolated, 'silent');
 	for (const vm of others) {
@@ -110,20 +110,20 @@
 
 	cluster.store.instances = cluster.store.instances.filter(instance => instance.id !== 'db-1');
 	const formerPrimary = cluster.database.instances[0]!;
-	let servedAfterSuccession = 0;
+	let servedAfterPromotion = 0;
 	for (let round = 0; round < 400; round++) {
 		const pending = isolatedCaller.send(round % 2 === 0 ? read : write);
 		const answer = await cluster.time.waitFor(pending);
 		const hasSuccessor = cluster.getTermRow().primaryId !== formerPrimary.id && cluster.getTermRow().phase === 'open';
 		if (hasSuccessor && answer.result.kind === 'completed') {
-			servedAfterSuccession += 1;
+			servedAfterPromotion += 1;
 		}
 
 		await cluster.time.advance(10);
 	}
 
 	t.not(cluster.getTermRow().primaryId, formerPrimary.id);
-	t.is(servedAfterSuccession, 0);
+	t.is(servedAfterPromotion, 0);
 	t.is((await sendWrites(cluster, callers, 1)).get('completed'), 2);
 	cluster.stop();
 });
@@ -149,7 +149,7 @@
 	t.true(await waitForPromotion(cluster, formerPrimary, 12_000) < 12_000);
 	await cluster.time.waitFor(Promise.all(pendingWrites));
 	t.not(cluster.getCoordinator(), coordinator);
-	const tokens = cluster.database.promotionRequests.map(order => order.fencingToken);
+	const tokens = cluster.database.promotionRequests.map(request => request.fencingToken);
 	t.deepEqual(tokens, tokens.toSorted((a, b) => a - b));
 	t.is((await sendWrites(cluster, callers, 1)).get('completed'), 2);
 	cluster.stop();
@@ -193,7 +193,7 @@
 	// The coordinator waits for the lost response until its timeout before it reads the rows back.
 	await cluster.time.advance(1500);
 	t.is((await sendWrites(cluster, callers, 1)).get('completed'), 3);
-	t.is(new Set(cluster.database.promotionRequests.map(order => order.holder)).size, 1);
+	t.is(new Set(cluster.database.promotionRequests.map(request => request.holder)).size, 1);
 	cluster.stop();
 });
 
@@ -251,7 +251,7 @@
 	const pendingWrites = callers.map(async caller => caller.send(write));
 	t.true(await waitForPromotion(cluster, formerPrimary, 4000) < 4000);
 	await cluster.time.waitFor(Promise.all(pendingWrites));
-	t.true(cluster.database.promotionRequests.every(order => order.holder === successor));
+	t.true(cluster.database.promotionRequests.every(request => request.holder === successor));
 	cluster.stop();
 });
 
