--- a/packages/gateway/src/configuration/configuration-codec.ts
+++ b/packages/gateway/src/configuration/configuration-codec.ts
@@ -31,7 +31,7 @@
 	try {
 		value = JSON.parse(text);
 	} catch {
-		// The codec rejects undefined, so invalid JSON is reported as a decoding error.
+		// The codec rejects undefined, so invalid JSON is returned as a decoding error.
 	}
 
 	return configurationCodec.decode(value);
--- a/packages/gateway/src/configuration/configuration-view.ts
+++ b/packages/gateway/src/configuration/configuration-view.ts
@@ -15,6 +15,7 @@
 		return this.#configuration?.version ?? 0;
 	}
 
+	/** Active configuration; undefined before the first is applied. */
 	get configuration(): GatewayConfiguration | undefined {
 		return this.#configuration;
 	}
@@ -36,30 +37,35 @@
 		return true;
 	}
 
+	/** Returns the route of a database name, the first if there are several; undefined if there is none. */
 	getRoute(database: string): DatabaseRoute | undefined {
 		return this.#routes.get(database);
 	}
 
+	/** Returns the group with a name, undefined if there is none. */
 	getGroup(name: string): DatabaseGroup | undefined {
 		return this.#groups.get(name);
 	}
 
+	/** Returns the account with a name, undefined if there is none. */
 	getAccount(name: string): ClientAccount | undefined {
 		return this.#accounts.get(name);
 	}
 
 	/**
-	 * Returns the account that owns a key.
+	 * Returns the account that owns a key, undefined if there is none.
 	 * @param digest - Digest of the key.
 	 */
 	getAccountByKey(digest: string): ClientAccount | undefined {
 		return this.#accountsByKey.get(digest);
 	}
 
+	/** Returns all accounts. */
 	getAccounts(): Iterable<ClientAccount> {
 		return this.#accounts.values();
 	}
 
+	/** Returns all groups. */
 	getGroups(): Iterable<DatabaseGroup> {
 		return this.#groups.values();
 	}
--- a/packages/gateway/src/configuration/configuration-watcher.ts
+++ b/packages/gateway/src/configuration/configuration-watcher.ts
@@ -5,24 +5,29 @@
 import {type ConfigurationView} from './configuration-view.js';
 import {type GatewayConfiguration} from './gateway-configuration.js';
 
-/** Long-poll duration, milliseconds; short, so that an unresponsive connection is detected soon. */
+/** Duration of a long poll, in milliseconds; short, so that an unresponsive connection is detected soon. */
 const pollWaitMs = 4000;
 
-/** Timeout of a store call, in addition to its long-poll duration, milliseconds. */
+/** Timeout of a store call, in addition to the duration of a long poll, in milliseconds. */
 const callTimeoutMs = 1000;
 
-/** Initial and maximum backoff after failed calls, milliseconds; the maximum equals the timeout of a call. */
+/** Initial backoff after failed calls, in milliseconds. */
 const initialBackoffMs = 250;
+
+/** Maximum backoff after failed calls, in milliseconds. */
 const maxBackoffMs = callTimeoutMs;
 
 /** Applies new configuration versions from the store, or from other VMs while this VM cannot reach the store. */
 export class ConfigurationWatcher {
+	/** Cached value of {@link encoded}. */
 	#encoded: string | undefined;
+	/** Store version to continue polling from; undefined if the next call has to read the full configuration. */
 	#storeVersion: number | undefined;
 	#isStopped = false;
 	#isStoreUnavailable = false;
 	#isPolling = true;
 	#isRefreshing = false;
+	/** Ends the wait for polling to be enabled. */
 	#wake: (() => void) | undefined;
 	readonly #listeners: Array<(configuration: GatewayConfiguration) => void> = [];
 
@@ -33,21 +38,22 @@
 		this.#backoff = new Backoff(initialBackoffMs, maxBackoffMs, random);
 	}
 
-	/** Active configuration, serialized for other VMs. */
+	/** Active configuration, serialized for other VMs; undefined before the first is applied. */
 	get encoded(): string | undefined {
 		const {configuration} = this.view;
 		this.#encoded ??= configuration === undefined ? undefined : formatConfiguration(configuration);
 		return this.#encoded;
 	}
 
+	/** Adds a listener that is called with each configuration that becomes active. */
 	onApplied(listener: (configuration: GatewayConfiguration) => void): void {
 		this.#listeners.push(listener);
 	}
 
 	/**
-	 * Reads the configuration once, after another VM reported a newer version. Returns true without a read while polling or another refresh is in progress.
+	 * Reads the configuration once, after another VM reported a newer version; does nothing if this VM is polling or already reading it.
 	 * @param version - Version reported by the other VM.
-	 * @returns Whether that version or a newer one is active, or about to be read.
+	 * @returns Whether that version or a newer one is active, or a read is already in progress.
 	 */
 	async refresh(version: number): Promise<boolean> {
 		if (this.#isPolling || this.#isRefreshing) {
@@ -80,11 +86,12 @@
 				// The next call reads the full configuration: the store's change history may no longer contain the polled version.
 				this.#storeVersion = undefined;
 				this.#recordStoreAvailability(result.failure.reason === 'history-gone', `${result.failure.reason}: ${result.failure.message}`);
-				await pause(this.#backoff.getNextDelayMs());
+				await delay(this.#backoff.getNextDelayMs());
 			}
 		}
 	}
 
+	/** Stops polling; a call in progress still completes. */
 	stop(): void {
 		this.#isStopped = true;
 		this.#wake?.();
@@ -101,6 +108,7 @@
 	/**
 	 * Applies a configuration received from another VM; logs it and keeps the active one if it cannot be parsed.
 	 * @param text - Configuration as serialized by {@link formatConfiguration}.
+	 * @param source - Origin of the configuration, for the log.
 	 */
 	applyEncoded(text: string, source: string): void {
 		parseConfiguration(text).ifRight(configuration => {
@@ -139,6 +147,7 @@
 		}
 	}
 
+	/** Logs when the store becomes unavailable or available again. */
 	#recordStoreAvailability(isAvailable: boolean, reason: string): void {
 		if (this.#isStoreUnavailable === isAvailable) {
 			this.#isStoreUnavailable = !isAvailable;
@@ -147,7 +156,7 @@
 	}
 }
 
-async function pause(ms: number): Promise<void> {
+async function delay(ms: number): Promise<void> {
 	await new Promise(resolve => {
 		setTimeout(resolve, ms);
 	});
--- a/packages/gateway/src/configuration/gateway-configuration.ts
+++ b/packages/gateway/src/configuration/gateway-configuration.ts
@@ -1,9 +1,10 @@
 /** Read consistency of a route. */
 export type RouteConsistency = 'primary' | 'bounded' | 'read-your-writes';
 
-/** Route from a database name, as used by callers, to a group. */
+/** Route from a database name to a group. */
 export type DatabaseRoute = {
 	readonly name: string;
+	/** Database name as used by callers. */
 	readonly database: string;
 	readonly group: string;
 	readonly consistency: RouteConsistency;
@@ -11,14 +12,16 @@
 	readonly targetLatencyMs: number;
 	/** 0 is the highest priority. */
 	readonly priority: number;
+	/** Maximum staleness of reads, in milliseconds; ignored for the consistency `primary`. */
 	readonly maxStalenessMs: number;
+	/** Whether callers without an account are accepted. */
 	readonly allowsAnonymous: boolean;
 };
 
 /** A group of database instances with one primary. */
 export type DatabaseGroup = {
 	readonly name: string;
-	/** Maximum connections to one instance, summed over all VMs. */
+	/** Maximum number of connections to one instance, over all VMs. */
 	readonly maxConnections: number;
 };
 
@@ -30,6 +33,7 @@
 	readonly priority: number;
 	/** Operations per second, over all VMs. */
 	readonly ratePerS: number;
+	/** Operations allowed at once in addition to the rate, over all VMs. */
 	readonly burst: number;
 };
 
@@ -39,8 +43,8 @@
 	readonly routes: readonly DatabaseRoute[];
 	readonly groups: readonly DatabaseGroup[];
 	readonly accounts: readonly ClientAccount[];
-	/** Idle time after which a transaction may be aborted, milliseconds. */
+	/** Idle time after which a transaction may be aborted, in milliseconds. */
 	readonly transactionIdleMs: number;
-	/** Maximum size of a statement, bytes. */
+	/** Maximum size of a statement, in bytes. */
 	readonly maxStatementBytes: number;
 };
--- a/packages/gateway/src/instances/instance-registry.ts
+++ b/packages/gateway/src/instances/instance-registry.ts
@@ -13,35 +13,39 @@
 
 	constructor(private readonly log: EventLog) {}
 
-	/** Monotonic time of the last update, milliseconds; undefined before the first. */
+	/** Monotonic time of the last update, in milliseconds; undefined before the first. */
 	get appliedAt(): number | undefined {
 		return this.#appliedAt;
 	}
 
-	/** Returns the monotonic time at which an instance was first seen draining, milliseconds; undefined if it is not draining. */
+	/** Returns the monotonic time at which an instance was first seen draining, in milliseconds; undefined if it is not draining. */
 	getDrainingSince(id: string): number | undefined {
 		return this.#drainingSince.get(id);
 	}
 
+	/** Returns the instance with an id, undefined if there is none. */
 	getInstance(id: string): Instance | undefined {
 		return this.#instances.get(id);
 	}
 
+	/** Returns the instances of a group. */
 	getGroupInstances(group: string): Instance[] {
 		return [...this.#instances.values()].filter(instance => instance.group === group);
 	}
 
+	/** Returns all instances. */
 	getInstances(): Iterable<Instance> {
 		return this.#instances.values();
 	}
 
+	/** Adds a listener for added, changed and removed instances. */
 	onChanged(listener: InstanceListener): void {
 		this.#listeners.push(listener);
 	}
 
 	/**
 	 * Replaces the list of instances and notifies listeners of each difference; a missing instance counts as removed.
-	 * @param now - Monotonic time, milliseconds.
+	 * @param now - Monotonic time, in milliseconds.
 	 */
 	setInstances(instances: readonly Instance[], now: number): void {
 		const before = this.#instances;
--- a/packages/gateway/src/instances/instance-watcher.ts
+++ b/packages/gateway/src/instances/instance-watcher.ts
@@ -4,17 +4,19 @@
 import {type Instance} from './instance.js';
 import {type InstanceRegistry} from './instance-registry.js';
 
-/** Poll interval, milliseconds; well below the time for which a draining instance still accepts statements. */
+/** Poll interval, in milliseconds; well below the time for which a draining instance still accepts statements. */
 const pollIntervalMs = 1000;
 
-/** Initial and maximum backoff after failed calls, milliseconds. */
+/** Initial backoff after failed calls, in milliseconds. */
 const initialBackoffMs = 300;
+
+/** Maximum backoff after failed calls, in milliseconds. */
 const maxBackoffMs = pollIntervalMs;
 
-/** Timeout of a store call, milliseconds. */
+/** Timeout of a store call, in milliseconds. */
 const callTimeoutMs = 1000;
 
-/** Time after a store outage for which missing instances are kept, milliseconds: their entries may have expired during the outage. */
+/** Time after a store outage for which missing instances are kept, in milliseconds: their entries may have expired during the outage. */
 const expiryGraceMs = 2500;
 
 /** Updates the instance registry from the store, or from the list reported by the coordinator. */
@@ -23,6 +25,7 @@
 	#outageEndedAt = Number.NEGATIVE_INFINITY;
 	#isStoreUnavailable = false;
 	#isPolling = true;
+	/** Ends the current wait between reads. */
 	#wake: (() => void) | undefined;
 
 	readonly #backoff: Backoff;
@@ -66,11 +69,13 @@
 		this.registry.setInstances(instances, this.clock.now());
 	}
 
+	/** Stops polling; a call in progress still completes. */
 	stop(): void {
 		this.#isStopped = true;
 		this.#wake?.();
 	}
 
+	/** Reads the list of instances and applies it; returns whether the call succeeded. */
 	async #read(): Promise<boolean> {
 		const result = await this.store.readInstances(callTimeoutMs);
 		const now = this.clock.now();
@@ -89,11 +94,13 @@
 		return true;
 	}
 
+	/** Adds the known instances that are missing from a list. */
 	#addExpiredInstances(instances: readonly Instance[]): Instance[] {
 		const ids = new Set(instances.map(instance => instance.id));
 		return [...instances, ...[...this.registry.getInstances()].filter(instance => !ids.has(instance.id))];
 	}
 
+	/** Logs when the store becomes unavailable or available again. */
 	#recordStoreAvailability(isAvailable: boolean, reason: string): void {
 		if (this.#isStoreUnavailable === isAvailable) {
 			this.#isStoreUnavailable = !isAvailable;
--- a/packages/gateway/src/instances/instance.ts
+++ b/packages/gateway/src/instances/instance.ts
@@ -5,15 +5,16 @@
 	/** Host and port. */
 	readonly address: string;
 	readonly zone: string;
+	/** Number of statements that the instance executes concurrently. */
 	readonly slots: number;
 	readonly state: 'ready' | 'draining';
 	/** Role as reported by the instance; may be outdated after a promotion. */
 	readonly reportedRole: 'primary' | 'replica';
-	/** Unix start time, milliseconds; a different value denotes a restarted instance. */
+	/** Start time as a Unix timestamp, in milliseconds; a different value denotes a restarted instance. */
 	readonly bornMs: number;
 };
 
-/** Checks whether all fields of two entries are equal. */
+/** Returns whether all fields of two instances are equal. */
 export function isInstanceUnchanged(before: Instance, after: Instance): boolean {
 	return before.id === after.id && before.group === after.group && before.address === after.address && before.zone === after.zone && before.slots === after.slots
 		&& before.state === after.state && before.reportedRole === after.reportedRole && before.bornMs === after.bornMs;
--- a/packages/gateway/src/limits/account-limiter.ts
+++ b/packages/gateway/src/limits/account-limiter.ts
@@ -6,36 +6,39 @@
 import {type AdjustableSettingsSource, type Clock} from '../ports/index.js';
 
 /** Requests tokens from the coordinator; resolves to undefined if it does not respond. */
-export type TokenRequester = (wants: Readonly<Record<string, TokenDemand>>) => Promise<Readonly<Record<string, TokenGrant>> | undefined>;
+export type TokenRequester = (demands: Readonly<Record<string, TokenDemand>>) => Promise<Readonly<Record<string, TokenGrant>> | undefined>;
 
-/** Lifetime of tokens granted ahead of demand, milliseconds. */
+/** Lifetime of tokens granted ahead of demand, in milliseconds. */
 const prefetchedTokenLifetimeMs = 500;
 
-/** Expected demand to prefetch tokens for, seconds. */
+/** Time ahead for which tokens are prefetched, in seconds. */
 const prefetchHorizonS = 0.3;
 
-/** Maximum time for which a rejection by the coordinator is cached, milliseconds. */
+/** Maximum time for which a rejection by the coordinator is cached, in milliseconds. */
 const maxRejectionCacheMs = 150;
 
-/** Lifetime of a released token, milliseconds: long enough for the next statements of the account. */
+/** Minimum lifetime of a released token, in milliseconds: long enough for the next statements of the account. */
 const releasedTokenLifetimeMs = 300;
 
-/** Fraction of its limit that a new process may use at first without the coordinator: it does not know what its VM used before the restart. */
+/** Fraction of the local limit that a new process may use at first: it does not know what its VM used before the restart. */
 const initialLimitFraction = 0.1;
 
 const msPerSecond = 1000;
 
+/** Resolves a waiting operation with the time after which to retry, in milliseconds; 0 admits it. */
 type Waiter = (waitMs: number) => void;
 
 type AccountState = {
 	availableTokens: number;
+	/** Monotonic time at which the available tokens expire, in milliseconds. */
 	tokensExpireAt: number;
+	/** Monotonic time until which operations without a token are rejected, in milliseconds. */
 	rejectedUntil: number;
 	isRequestPending: boolean;
 	waiters: Waiter[];
 	/** Operations admitted by this VM in the sliding window. */
 	readonly usage: SlidingWindowCounter;
-	/** Operations per window that this VM admits while the coordinator does not respond. */
+	/** Operations per window that this VM admits while the coordinator does not respond; undefined while it responds, or before it is computed. */
 	localLimit: number | undefined;
 };
 
@@ -43,10 +46,10 @@
 export class AccountLimiter {
 	readonly #accounts = new Map<string, AccountState>();
 	#requestTokens: TokenRequester | undefined;
-	/** Undefined until the members have been read from the store or reported by the coordinator. */
+	/** Number of VMs; undefined until it is read from the store or reported by the coordinator. */
 	#memberCount: number | undefined;
-	#isFlushScheduled = false;
-	/** Time since which limits are enforced locally; undefined while the coordinator responds. */
+	#isTokenRequestScheduled = false;
+	/** Monotonic time since which limits are enforced locally, in milliseconds; undefined while the coordinator responds. */
 	#localModeSince: number | undefined;
 
 	readonly #startedAt: number;
@@ -78,7 +81,7 @@
 
 	/**
 	 * Acquires a token for one operation.
-	 * @returns 0 if the operation is admitted, otherwise the time after which to retry, milliseconds.
+	 * @returns 0 if the operation is admitted, otherwise the time after which to retry, in milliseconds.
 	 */
 	async acquireOperation(account: string): Promise<number> {
 		const now = this.clock.now();
@@ -96,11 +99,11 @@
 
 		return new Promise(resolve => {
 			state.waiters.push(resolve);
-			this.#scheduleFlush();
+			this.#scheduleTokenRequest();
 		});
 	}
 
-	/** Returns the token of an operation that never reached an instance, for reuse by the next operation of the account. */
+	/** Releases the token of an operation that never reached an instance, for the next operation of the account. */
 	releaseOperation(account: string): void {
 		const state = this.#accounts.get(account);
 		if (state === undefined) {
@@ -115,18 +118,18 @@
 		}
 	}
 
-	/** Describes an account's limit and whether it is enforced globally or locally, for a refusal message. */
+	/** Describes an account's limit, and whether it is enforced across all VMs or by this one alone, for a refusal message. */
 	describeLimit(account: string): string {
 		const limit = this.configuration.getAccount(account);
 		const scope = this.#localModeSince === undefined ? 'over all VMs' : `kept by this VM alone, one of ${this.#memberCount ?? 'an unknown number'}`;
 		return `${limit?.ratePerS ?? 0} operations a second, ${limit?.burst ?? 0} at once, ${scope}`;
 	}
 
-	#scheduleFlush(): void {
-		if (!this.#isFlushScheduled) {
-			this.#isFlushScheduled = true;
+	#scheduleTokenRequest(): void {
+		if (!this.#isTokenRequestScheduled) {
+			this.#isTokenRequestScheduled = true;
 			setImmediate(() => {
-				this.#isFlushScheduled = false;
+				this.#isTokenRequestScheduled = false;
 				void this.#requestPendingTokens();
 			});
 		}
@@ -134,14 +137,14 @@
 
 	async #requestPendingTokens(): Promise<void> {
 		const waitersByAccount = new Map<string, Waiter[]>();
-		const wants: Record<string, TokenDemand> = {};
+		const demands: Record<string, TokenDemand> = {};
 		const now = this.clock.now();
 		const prefetchFraction = (prefetchHorizonS * msPerSecond) / this.getSettings().limitWindowMs;
 		for (const [account, state] of this.#accounts) {
 			if (state.waiters.length > 0 && !state.isRequestPending) {
 				state.isRequestPending = true;
 				waitersByAccount.set(account, state.waiters);
-				wants[account] = {needed: state.waiters.length, extra: Math.floor(state.usage.getCount(now) * prefetchFraction)};
+				demands[account] = {needed: state.waiters.length, extra: Math.floor(state.usage.getCount(now) * prefetchFraction)};
 				state.waiters = [];
 			}
 		}
@@ -150,7 +153,7 @@
 			return;
 		}
 
-		const grants = await this.#requestTokens?.(wants);
+		const grants = await this.#requestTokens?.(demands);
 		for (const [account, waiters] of waitersByAccount) {
 			const state = this.#getState(account);
 			state.isRequestPending = false;
@@ -163,7 +166,7 @@
 		}
 
 		if ([...this.#accounts.values()].some(state => state.waiters.length > 0)) {
-			this.#scheduleFlush();
+			this.#scheduleTokenRequest();
 		}
 	}
 
@@ -200,7 +203,7 @@
 		}
 
 		if (this.#memberCount === undefined) {
-			// No statement runs before the terms and members are known, so statements waiting for them do not exceed the limit.
+			// Without members there are no terms, and no statement runs, so admitting these operations does not exceed the limit.
 			for (const settle of waiters) {
 				state.usage.add(1, now);
 				settle(0);
@@ -228,7 +231,7 @@
 		return limit === undefined ? 0 : countAllowedInIsolation(limit, limitWindowMs, memberCount, state.usage.getCount(now));
 	}
 
-	/** Returns the fraction of the local limit that may be used; it grows to 1 as this process observes a whole window. */
+	/** Returns the fraction of the local limit that may be used; it grows from `initialLimitFraction` to 1 within the first window of this process. */
 	#getUsableFraction(now: number): number {
 		return Math.min(1, initialLimitFraction + ((now - this.#startedAt) / this.getSettings().limitWindowMs));
 	}
--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -3,9 +3,10 @@
 import {type EventLog, type GatewayMetrics} from '../observability/index.js';
 import {type Clock} from '../ports/index.js';
 
-/** Term of a group and its primary. In phase `closing` the primary may no longer be used. */
+/** Term of a group and its primary; in phase `closing`, no new statement may use the primary. */
 export type GroupTerm = {
 	readonly group: string;
+	/** Number of the term; a promotion increases it. */
 	readonly term: number;
 	readonly primaryId: string;
 	readonly phase: 'open' | 'closing';
@@ -15,19 +16,19 @@
 	readonly revision: number;
 };
 
-/** Duration of the term lease, which confirms that no known term was closed, in milliseconds: almost four heartbeat intervals. */
+/** Duration of the term lease, in milliseconds: almost four heartbeat intervals. While a VM holds it, no term that the VM knows has been replaced. */
 export const termLeaseMs = 1500;
 
-/** How long a statement waits for an ended lease to be regained, in milliseconds: a clock jump ends the lease until the next heartbeat. */
+/** Maximum time for which a statement waits until a lost lease is regained, in milliseconds: a clock jump ends the lease until the next heartbeat. */
 const leaseWaitTimeoutMs = 400;
 
 /** Interval at which a waiting statement checks the lease, in milliseconds. */
 const leasePollIntervalMs = 10;
 
-/** Maximum staleness for which positions are kept, in milliseconds. */
+/** Maximum age of the positions that are kept, in milliseconds. */
 const positionRetentionMs = 5000;
 
-/** Tracks the term of each group, and the lease under which the known terms may be relied on. */
+/** Tracks the term of each group, and the lease under which this VM may rely on the known terms. */
 export class TermRegistry {
 	readonly #terms = new Map<string, GroupTerm>();
 	readonly #closingSince = new Map<string, number>();
@@ -46,37 +47,42 @@
 		this.#startedAt = clock.now();
 	}
 
+	/** Adds a listener that is called with each term that is applied. */
 	onChanged(listener: (term: GroupTerm) => void): void {
 		this.#changeListeners.push(listener);
 	}
 
-	/** Adds a listener that is called whenever the lease is regained after it had ended. */
+	/** Adds a listener that is called whenever the lease is acquired, at first or again after it had ended. */
 	onLeaseRegained(listener: () => void): void {
 		this.#leaseRegainedListeners.push(listener);
 	}
 
+	/** Returns the newest known term of a group, undefined if none is known. */
 	getTerm(group: string): GroupTerm | undefined {
 		return this.#terms.get(group);
 	}
 
+	/** Returns the newest known term of every group. */
 	getTerms(): GroupTerm[] {
 		return [...this.#terms.values()];
 	}
 
-	/** Returns the monotonic time at which a group's term began to close, in milliseconds, or undefined if it is open. */
+	/** Returns the monotonic time at which a group's term began to close, in milliseconds; undefined if it is open. */
 	getClosingSince(group: string): number | undefined {
 		return this.#closingSince.get(group);
 	}
 
+	/** Returns the current time of both clocks. */
 	getClockReading(): ClockReading {
 		return {monotonicMs: this.clock.now(), wallMs: this.clock.getWallTime()};
 	}
 
+	/** Returns whether this VM holds the term lease now. */
 	isLeaseHeld(): boolean {
 		return this.#lease.isHeld(this.getClockReading());
 	}
 
-	/** Logs the end of the lease, once each time. */
+	/** Logs that the lease has ended, if it was held at the previous call. */
 	logLeaseLoss(): void {
 		const isHeld = this.isLeaseHeld();
 		if (this.#wasLeaseHeld && !isHeld) {
@@ -86,17 +92,18 @@
 		this.#wasLeaseHeld = isHeld;
 	}
 
-	/** Returns how long the lease has not been held, in milliseconds, counted from the start of the process if it never was. */
+	/** Returns the time for which the lease has not been held, in milliseconds; 0 while it is held, the age of this registry if it never was. */
 	getMsWithoutLease(): number {
 		return this.isLeaseHeld() ? 0 : Math.max(0, this.clock.now() - Math.max(this.#startedAt, this.#leaseRenewedAt + termLeaseMs));
 	}
 
+	/** Returns the remaining time of the lease, in milliseconds; 0 if it is not held. */
 	getLeaseRemainingMs(): number {
 		return this.#lease.getRemainingMs(this.getClockReading());
 	}
 
 	/**
-	 * Renews the lease: the known terms were the newest ones at the given time.
+	 * Renews the lease, after a confirmation that the known terms are the newest ones.
 	 * @param at - Time at which the confirmation was requested.
 	 */
 	renewLease(at: ClockReading): void {
@@ -111,7 +118,7 @@
 		}
 	}
 
-	/** Applies a group's term, unless the known one is as new or newer. */
+	/** Applies a group's term if it is newer than the known one. */
 	applyTerm(term: GroupTerm): void {
 		const known = this.#terms.get(term.group);
 		if (known !== undefined && term.revision <= known.revision) {
@@ -148,14 +155,14 @@
 		this.#pendingWriteCounts.set(group, (this.#pendingWriteCounts.get(group) ?? 0) - 1);
 	}
 
-	/** Returns whether this VM no longer acts on the term that is closing: its pending writes are done, or the drain time has passed. */
+	/** Returns whether this VM has stopped writing under a group's closing term: its pending writes are done, or the drain time has passed; true if no term is closing. */
 	isDrained(group: string): boolean {
 		const term = this.#terms.get(group);
 		const closingSince = this.#closingSince.get(group);
 		return term === undefined || closingSince === undefined || (this.#pendingWriteCounts.get(group) ?? 0) === 0 || this.clock.now() >= closingSince + term.drainMs;
 	}
 
-	/** Returns the newest revision of a group's term up to which this VM has no pending writes of an earlier phase, 0 if none. */
+	/** Returns the newest revision of a group's term at which this VM had drained its writes, 0 if there is none. */
 	getDrainedRevision(group: string): number {
 		const term = this.#terms.get(group);
 		if (term === undefined || this.isDrained(group)) {
@@ -167,7 +174,7 @@
 
 	/**
 	 * Waits until a write that the primary acknowledged cannot be missing from a successor.
-	 * @returns False if a successor may have been promoted before the write.
+	 * @returns Whether that is certain; false if a successor may have been promoted without the write.
 	 */
 	async waitUntilWriteIsSafe(group: string, instanceId: string): Promise<boolean> {
 		const term = this.#terms.get(group);
@@ -175,7 +182,7 @@
 		return (isDraining && this.isLeaseHeld()) || this.waitUntilPrimaryIsUsable(group, instanceId);
 	}
 
-	/** Returns the primary of a group if its term is open and the lease is held, otherwise undefined. */
+	/** Returns the id of a group's primary; undefined unless the term is open and the lease is held. */
 	getUsablePrimary(group: string): string | undefined {
 		const term = this.#terms.get(group);
 		return term?.phase === 'open' && this.isLeaseHeld() ? term.primaryId : undefined;
@@ -188,7 +195,7 @@
 
 	/**
 	 * Waits until an instance may be used as a group's primary.
-	 * @returns False if it is no longer the primary, or the lease was not regained in time.
+	 * @returns Whether it may; false if it is no longer the primary, or the lease was not regained in time.
 	 */
 	async waitUntilPrimaryIsUsable(group: string, instanceId: string): Promise<boolean> {
 		const deadline = this.clock.now() + leaseWaitTimeoutMs;
@@ -213,7 +220,7 @@
 	}
 
 	/**
-	 * Records the log position of a group's primary; ignores one of another term.
+	 * Records the log position of a group's primary; ignores a position of another term.
 	 * @param observedAt - Monotonic time at which the statement was sent under a held lease, in milliseconds.
 	 */
 	recordPosition(group: string, position: LogPosition, observedAt: number): void {
@@ -224,12 +231,15 @@
 		this.#getPositions(group).addSample({observedAt, position}, this.clock.now());
 	}
 
-	/** Returns the lowest known position that covers every commit acknowledged before a monotonic time, in milliseconds. */
+	/**
+	 * Returns the lowest known position of a group that covers every commit acknowledged before a given time, undefined if none is known.
+	 * @param time - Monotonic time, in milliseconds.
+	 */
 	getPositionCovering(group: string, time: number): LogPosition | undefined {
 		return this.#positions.get(group)?.getPositionCovering(time);
 	}
 
-	/** Returns a group's newest known position and its age in milliseconds. */
+	/** Returns a group's newest known position and its age, undefined if none is known. */
 	getNewestPosition(group: string): {readonly position: LogPosition; readonly ageMs: number} | undefined {
 		const sample = this.#positions.get(group)?.getNewestSample();
 		return sample === undefined ? undefined : {position: sample.position, ageMs: this.clock.now() - sample.observedAt};
--- a/packages/gateway/src/tests/limits/limits.test.ts
+++ b/packages/gateway/src/tests/limits/limits.test.ts
@@ -3,12 +3,16 @@
 
 const {read} = statements;
 
-/** Sliding window of the limits, milliseconds, and the overage that deployments allow, as a fraction and as a number of operations. */
+/** Sliding window of the limits, in milliseconds. */
 const windowMs = 5000;
+
+/** Maximum overage that deployments allow, as a fraction of the limit. */
 const allowedOverage = 0.1;
+
+/** Maximum number of operations that deployments allow beyond that overage. */
 const allowedExtraOperations = 20;
 
-/** Sends reads of one account at a constant rate, round-robin over VMs, and counts the reads that were sent and refused as over the limit. */
+/** Sends reads of one account at a constant rate, round-robin over VMs; counts the reads that were sent, and those refused as over the limit. */
 async function sendAtRate(cluster: TestCluster, vms: readonly string[], ratePerS: number, durationMs: number): Promise<{sent: number; refused: number}> {
 	const counts = {sent: 0, refused: 0};
 	const pending = new Set<Promise<void>>();
@@ -42,7 +46,7 @@
 }
 
 /** Returns the maximum number of operations executed in any window. */
-function countBusiestWindow(cluster: TestCluster): number {
+function countMaxOperationsPerWindow(cluster: TestCluster): number {
 	const times = cluster.database.events.map(event => event.at).toSorted((a, b) => a - b);
 	let maxCount = 0;
 	for (let end = 0, start = 0; end < times.length; end++) {
@@ -83,7 +87,7 @@
 	const served = cluster.database.events.length;
 	t.true(counts.refused > 0);
 	t.true(served >= 40 * 8);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations);
+	t.true(countMaxOperationsPerWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations);
 	cluster.stop();
 });
 
@@ -97,7 +101,7 @@
 	const countsInIsolation = await sendAtRate(cluster, ['vm1', 'vm2', 'vm3'], 320, 6000);
 	t.true(countsInIsolation.sent > countsInIsolation.refused);
 	t.deepEqual(cluster.log.events.filter(({name}) => name === 'limits.local').map(({vm}) => vm), [isolatedVm]);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations, `${countBusiestWindow(cluster)}`);
+	t.true(countMaxOperationsPerWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations, `${countMaxOperationsPerWindow(cluster)}`);
 	cluster.stop();
 });
 
@@ -113,7 +117,7 @@
 	const others = ['vm1', 'vm2', 'vm3'].filter(vm => vm !== coordinator);
 	await sendAtRate(cluster, others, 320, 12_000);
 	t.not(cluster.getCoordinator(), coordinator);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations, `${countBusiestWindow(cluster)}`);
+	t.true(countMaxOperationsPerWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations, `${countMaxOperationsPerWindow(cluster)}`);
 	cluster.stop();
 });
 
@@ -155,7 +159,7 @@
 
 	await cluster.time.advance(150);
 	await sendAtRate(cluster, others, 320, 3000);
-	t.true(countBusiestWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations, `${countBusiestWindow(cluster)}`);
+	t.true(countMaxOperationsPerWindow(cluster) <= (((40 * 5) + 40) * (1 + allowedOverage)) + allowedExtraOperations, `${countMaxOperationsPerWindow(cluster)}`);
 	t.true(cluster.database.events.length > 300, 'the account is served before and after the restart');
 	cluster.stop();
 });
