--- a/packages/proxy/src/access/caller-authenticator.ts
+++ b/packages/proxy/src/access/caller-authenticator.ts
@@ -23,7 +23,7 @@
 	return a.length === b.length && timingSafeEqual(Buffer.from(a), Buffer.from(b));
 }
 
-/** Returns the token of an `Authorization` header, or undefined for another scheme. */
+/** Returns the bearer token of an `Authorization` header, or undefined if the header is empty or has another scheme. */
 export function getBearerToken(authorization: string): string | undefined {
 	const prefix = 'bearer ';
 	return authorization.toLowerCase().startsWith(prefix) ? authorization.slice(prefix.length).trim() : undefined;
@@ -34,7 +34,7 @@
 	readonly configuration: Configuration;
 	/** Returns whether the configuration is fresh enough to be used. */
 	isFresh(): boolean;
-	/** Returns the age of the configuration, in milliseconds. */
+	/** Returns the age of the configuration, in milliseconds; infinity before the first sync. */
 	getAgeMs(): number;
 };
 
--- a/packages/proxy/src/configuration/configuration-replica.ts
+++ b/packages/proxy/src/configuration/configuration-replica.ts
@@ -9,8 +9,9 @@
 import {type Membership, type Peer} from '../membership/index.js';
 import {formatChange, parseChange} from './change-codec.js';
 
-/** Maximum number of changes kept for peers with an older version. */
+/** Maximum number of changes that are kept for peers with an older version. */
 const maxRetainedChanges = 256;
+/** Timeout of a push to a peer, in milliseconds; a pull may transfer a snapshot and gets four times as long. */
 const pushTimeoutMs = 700;
 
 /** Outcome of a requested change. */
@@ -19,13 +20,16 @@
 	| {readonly kind: 'accepted'; readonly version: number}
 	/** Written, but not confirmed by a majority of the voters. */
 	| {readonly kind: 'committed'; readonly version: number}
+	/** Not written, because the configuration has another version than expected; `change` is the one after the expected version, undefined if this VM does not hold it. */
 	| {readonly kind: 'conflict'; readonly version: number; readonly change?: ConfigurationChange | undefined};
 
-/** Change requested by an operator, or by a VM for the voters. */
+/** Change requested by an operator, or by a VM that adds or removes a voter. */
 export type ChangeRequest = {
+	/** Version that the change is based on; it is written only if this is the current one. */
 	readonly expectedVersion: number;
 	readonly author: string;
 	readonly summary: string;
+	/** Unique id of the write, by which a retry recognizes that the change was already written. */
 	readonly writeId: string;
 	readonly rows: readonly StoredRow[];
 };
@@ -41,6 +45,7 @@
 
 /** Keeps this VM's copy of the configuration at the newest known version, which never decreases. */
 export class ConfigurationReplica {
+	/** The configuration, updated in place. */
 	readonly current = new Configuration();
 	readonly #changes = new Map<number, ConfigurationChange>();
 	readonly #listeners: Array<(rows: readonly ParsedRow[]) => void> = [];
@@ -48,16 +53,17 @@
 
 	constructor(private readonly dependencies: ConfigurationReplicaDependencies) {}
 
+	/** Version of the configuration, zero if there is none yet. */
 	get version(): number {
 		return this.current.version;
 	}
 
-	/** Adds a listener for the rows of every change. */
+	/** Adds a listener for the rows of every change and snapshot that is applied. */
 	addListener(listener: (rows: readonly ParsedRow[]) => void): void {
 		this.#listeners.push(listener);
 	}
 
-	/** Reads the newest version from the store and catches up with it. */
+	/** Reads the newest version from the store and catches up with it; returns that version, or a refusal if the store cannot be read. */
 	async pollStore(): Promise<Either<Refusal, number>> {
 		const sentAt = this.dependencies.clock.getNow();
 		const head = await this.dependencies.log.readHead();
@@ -86,7 +92,7 @@
 		});
 	}
 
-	/** Returns the changes after a version, or a snapshot where this VM no longer holds all of them. */
+	/** Returns the changes after a version, or a snapshot if this VM does not hold all of them. */
 	createPullResponse(fromVersion: number): Partial<Pick<PullConfigurationResponse, 'changes' | 'snapshot' | 'snapshotVersion'>> {
 		const changes: ConfigurationChange[] = [];
 		for (let version = fromVersion + 1; version <= this.version; version += 1) {
@@ -110,12 +116,15 @@
 		}
 	}
 
-	/** Returns the latest changes that this VM holds, newest first. */
+	/**
+	 * Returns the latest changes that this VM holds, newest first.
+	 * @param limit - Maximum number of changes.
+	 */
 	getHistory(limit: number): ConfigurationChange[] {
 		return [...this.#changes.values()].toSorted((a, b) => b.version - a.version).slice(0, limit);
 	}
 
-	/** Writes a change to the store, then pushes it to every peer. */
+	/** Writes a change to the store, then pushes it to every peer; a change that was already written under the same `writeId` is only pushed. */
 	async applyChangeRequest(request: ChangeRequest): Promise<Either<Refusal, ApplyResult>> {
 		const head = await this.pollStore();
 		if (head.isLeft()) {
@@ -136,7 +145,7 @@
 		return allowed.isLeft() ? (allowed) : this.#writeChange(request);
 	}
 
-	/** Pushes changes to every peer; returns whether a majority of the voters confirms that it has the version. */
+	/** Pushes changes to every peer; returns whether a majority of the voters confirms that it has the version, true if there are no voters. */
 	async confirmVersion(changes: readonly ConfigurationChange[], version: number): Promise<boolean> {
 		const voters = this.current.getVoterNames();
 		const {membership, freshness} = this.dependencies;
@@ -193,7 +202,7 @@
 		}
 	}
 
-	/** Allows one voter change at a time, and only after a majority has confirmed the previous change. */
+	/** Allows one voter change at a time, and only after a majority has confirmed the previous change; the first voters need no confirmation. */
 	async #checkVoterChange(rows: readonly ParsedRow[]): Promise<Either<Refusal, readonly ParsedRow[]>> {
 		const voterRows = rows.filter(row => row.kind === 'voter');
 		const isFirst = this.current.getVoterNames().length === 0;
@@ -211,8 +220,8 @@
 	async #catchUpFromStore(version: number, snapshotVersion: number): Promise<void> {
 		if (snapshotVersion > this.version) {
 			const snapshot = await this.dependencies.log.readSnapshot(snapshotVersion);
-			snapshot.ifRight(({version: at, rows}) => {
-				this.#loadSnapshot(at, rows);
+			snapshot.ifRight(({version: loadedVersion, rows}) => {
+				this.#loadSnapshot(loadedVersion, rows);
 			});
 		}
 
--- a/packages/proxy/src/endpoints/endpoint-connection-pool.ts
+++ b/packages/proxy/src/endpoints/endpoint-connection-pool.ts
@@ -1,7 +1,7 @@
 import {type EndpointConnectionPort, type EndpointConnector} from './endpoint-port.js';
 
-/** Connections to an instance that the known VMs leave free for a VM that is not listed yet. */
-export const reservedConnections = 2;
+/** Number of connections to an instance that the known VMs leave free for a VM that is not listed yet. */
+export const connectionsReservedForNewVm = 2;
 
 /**
  * Returns the maximum number of connections from one VM to an instance.
@@ -9,7 +9,7 @@
  * @param vmCount - Number of known VMs.
  */
 export function getMaxConnectionsPerVm(connections: number, vmCount: number): number {
-	return Math.max(reservedConnections, Math.floor((connections - reservedConnections) / Math.max(1, vmCount)));
+	return Math.max(connectionsReservedForNewVm, Math.floor((connections - connectionsReservedForNewVm) / Math.max(1, vmCount)));
 }
 
 /** Pool of connections from this VM to one instance, with a separate control connection. */
@@ -20,14 +20,14 @@
 	#maxRequestConnections = 1;
 
 	/**
-	 * @param address - Address of the instance.
+	 * @param address - Host and port of the instance.
 	 * @param connector - Opens connections.
 	 */
 	constructor(readonly address: string, private readonly connector: EndpointConnector) {
 		this.control = connector.openConnection(address);
 	}
 
-	/** Maximum number of connections for requests. */
+	/** Maximum number of connections for requests, without the control connection. */
 	get maxRequestConnections(): number {
 		return this.#maxRequestConnections;
 	}
@@ -55,7 +55,7 @@
 		return this.acquiredCount < this.#maxRequestConnections;
 	}
 
-	/** Returns the most recently used idle connection or a new one, or undefined if all are in use. */
+	/** Returns the most recently used idle connection or a new one, undefined if the maximum is in use. */
 	acquireConnection(): EndpointConnectionPort | undefined {
 		const idle = this.#idle.pop();
 		if (idle !== undefined || this.#requestConnectionCount >= this.#maxRequestConnections) {
@@ -66,7 +66,11 @@
 		return this.connector.openConnection(this.address);
 	}
 
-	/** Returns a connection to the pool; one that is not clean may hold state of its request and is closed. */
+	/**
+	 * Returns a connection to the pool, or closes it if the pool has too many.
+	 * @param connection - Connection acquired from this pool.
+	 * @param isClean - Whether the connection holds no state of its request; otherwise it is closed.
+	 */
 	releaseConnection(connection: EndpointConnectionPort, isClean: boolean): void {
 		if (isClean && this.#requestConnectionCount <= this.#maxRequestConnections) {
 			this.#idle.push(connection);
--- a/packages/proxy/src/endpoints/endpoint-port.ts
+++ b/packages/proxy/src/endpoints/endpoint-port.ts
@@ -6,7 +6,7 @@
 
 /** Failure of a request without a usable response. */
 export type EndpointFailure = {
-	/** Whether the request may have reached the endpoint. */
+	/** `unsent` if the request cannot have reached the endpoint, `unanswered` if it may have. */
 	readonly stage: Extract<RequestStage, 'unsent' | 'unanswered'>;
 	readonly message: string;
 };
@@ -20,11 +20,15 @@
 
 /** One connection to an instance of a database group. */
 export type EndpointConnectionPort = {
+	/** Runs a single statement or a step of a transaction. */
 	execute(request: ExecuteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, ExecuteResponse>>;
+	/** Requests the status of the instance, which may wait until it reaches a log position. */
 	probe(request: ProbeRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, InstanceStatus>>;
+	/** Makes the instance refuse all terms below the given one. */
 	fence(request: FenceRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>>;
+	/** Makes the instance the primary of a term. */
 	promote(request: PromoteRequest, options: EndpointCallOptions): Promise<Either<EndpointFailure, FenceResponse>>;
-	/** Number of times the connection was lost; the next request reconnects. */
+	/** Number of times that the connection was lost; the next request reconnects. */
 	readonly disconnectCount: number;
 	/** Closes the connection at once and aborts the request in flight. */
 	close(): void;
@@ -32,5 +36,9 @@
 
 /** Opens connections to endpoints. */
 export type EndpointConnector = {
+	/**
+	 * Creates a connection, which connects on its first request.
+	 * @param address - Host and port of the endpoint.
+	 */
 	openConnection(address: string): EndpointConnectionPort;
 };
--- a/packages/proxy/src/endpoints/http-endpoint-connection.ts
+++ b/packages/proxy/src/endpoints/http-endpoint-connection.ts
@@ -18,7 +18,7 @@
 /** Options of connections to endpoints. */
 export type EndpointConnectionOptions = {
 	readonly connectTimeoutMs: number;
-	/** Local IP address that connections are opened from. */
+	/** Local IP address that connections are opened from; the system chooses one if absent. */
 	readonly sourceAddress?: string | undefined;
 };
 
@@ -35,7 +35,7 @@
 	promote: {name: 'Promote', request: PromoteRequestSchema, response: FenceResponseSchema},
 } as const;
 
-/** A connection that speaks the unary Connect protocol over HTTP/1.1, one request at a time. */
+/** Connection to an endpoint that speaks the unary Connect protocol over HTTP/1.1, one request at a time. */
 export class HttpEndpointConnection implements EndpointConnectionPort {
 	#disconnectCount = 0;
 	#isClosed = false;
@@ -79,7 +79,7 @@
 		this.#client.destroy().catch(() => undefined);
 	}
 
-	/** Destroys the connection, so that a late response cannot be read as that of another request; the next request reconnects. */
+	/** Destroys the connection, so that a late response is not taken for the response to another request; the next request reconnects. */
 	#reset(): void {
 		this.#client.removeAllListeners('disconnect');
 		this.#client.destroy().catch(() => undefined);
@@ -96,6 +96,7 @@
 			connect: {timeout: connectTimeoutMs, ...(sourceAddress === undefined ? {} : {localAddress: sourceAddress})},
 			keepAliveTimeout: idleTimeoutMs,
 			keepAliveMaxTimeout: idleTimeoutMs,
+			// Disabled, because each request has its own timeout.
 			headersTimeout: 0,
 			bodyTimeout: 0,
 		});
@@ -132,6 +133,7 @@
 	}
 }
 
+/** System errors that occur before a connection is established. */
 const unsentErrorCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL']);
 
 /** Creates the failure for an error: a request is unsent only if its connection was never established. */
--- a/packages/proxy/src/endpoints/instance-report.ts
+++ b/packages/proxy/src/endpoints/instance-report.ts
@@ -2,7 +2,7 @@
 import {type LogPosition as WirePosition, type InstanceStatus} from '@chicorysaddle/protocol';
 import {logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** Converts a log position from its wire format. */
+/** Converts a log position from its wire format; an absent one becomes the start of the log. */
 export function parsePosition(position: WirePosition | undefined): LogPosition {
 	return position === undefined ? logStart : {term: Number(position.term), offset: Number(position.offset)};
 }
--- a/packages/proxy/src/observability/metrics.ts
+++ b/packages/proxy/src/observability/metrics.ts
@@ -1,6 +1,6 @@
 import {build, type Histogram} from 'hdr-histogram-js';
 
-/** Stages of a request whose duration is recorded. */
+/** A stage of a request whose duration is recorded. */
 export type Hop = 'request' | 'admission' | 'queue' | 'endpoint' | 'confirm' | 'forward';
 
 const hops: readonly Hop[] = ['request', 'admission', 'queue', 'endpoint', 'confirm', 'forward'];
@@ -28,7 +28,7 @@
 		return this.#counters.get(name) ?? 0;
 	}
 
-	/** Adds a gauge, whose value is read whenever the metrics are. */
+	/** Adds a gauge, whose value is read each time the metrics are read. */
 	addGauge(name: string, read: () => number): void {
 		this.#gauges.set(name, read);
 	}
--- a/packages/proxy/src/observability/tracing.ts
+++ b/packages/proxy/src/observability/tracing.ts
@@ -37,7 +37,7 @@
 		this.#tracer = this.#provider.getTracer('chicorysaddle');
 	}
 
-	/** Extracts the trace context of a request from its `traceparent` header. */
+	/** Extracts the trace context of a request from its `traceparent` header; the root context if the header is absent. */
 	parseTraceparent(traceparent: string | undefined): Context {
 		return traceparent === undefined ? ROOT_CONTEXT : propagator.extract(ROOT_CONTEXT, {traceparent}, headerGetter);
 	}
--- a/packages/proxy/src/requests/claim-registry.ts
+++ b/packages/proxy/src/requests/claim-registry.ts
@@ -8,28 +8,28 @@
 /** Number of table rows that claims are hashed into. */
 const bucketCount = 4096;
 
-/** Claims kept per row; the oldest are dropped first. */
+/** Maximum number of claims per row; the oldest are dropped first. */
 const maxClaimsPerBucket = 64;
 
 const bucketSchema = z.array(z.tuple([z.string(), claimSchema]));
 
 /**
- * Claims request ids in the platform's table for groups that do not record them.
- * The number of rows and of claims per row is fixed; a full row drops its oldest claim.
+ * Claims request ids in the platform's table, for groups that do not record request ids themselves.
+ * The number of rows is fixed; a full row drops its oldest claim.
  */
 export class ClaimRegistry {
 	constructor(private readonly table: Table) {}
 
 	/**
 	 * Claims a request id; only the first claim may send the request, and only once.
-	 * @param recordId - Identity of the request.
+	 * @param recordId - Id of the request, from `getRecordId`.
 	 * @param bodyHash - Hash of the request body.
-	 * @param claimId - Identity of this claim, by which a retry recognizes its own claim after a lost response of the table.
+	 * @param claimId - Unique id of this claim, by which a retry recognizes its own claim after the response of the table was lost.
 	 * @param idempotencyKey - Idempotency-Key of the caller, for error messages.
 	 */
 	async claimRequest(recordId: string, bodyHash: string, claimId: string, idempotencyKey: string): Promise<Either<Refusal, void>> {
-		const attempts = 4;
-		for (let attempt = 0; attempt < attempts; attempt += 1) {
+		const maxAttempts = 4;
+		for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
 			const outcome = await this.#tryClaim(recordId, bodyHash, claimId, idempotencyKey);
 			if (outcome !== 'again') {
 				return outcome;
--- a/packages/proxy/src/requests/read-runner.ts
+++ b/packages/proxy/src/requests/read-runner.ts
@@ -21,7 +21,7 @@
 	readonly caller: CallerIdentity;
 	/** Weight of the account in the queue. */
 	readonly weight: number;
-	/** What the session has seen of the group. */
+	/** Log position of the group that the response has to include, and whether only the primary may run the read. */
 	readonly watermark: SessionWatermark;
 	/** Maximum age of the data, in milliseconds; zero for no limit. */
 	readonly maxStalenessMs: number;
@@ -33,12 +33,12 @@
 export class ReadRunner {
 	constructor(private readonly dependencies: RequestDependencies) {}
 
-	/** Runs a read and retries it on another instance if one fails. */
+	/** Runs a read; if an instance fails, retries it on another one. */
 	async runRead(read: ReadRequest, context: RequestContext): Promise<Either<Refusal, EndpointResponse>> {
 		const {authenticator, clock, retryBudget} = this.dependencies;
-		const tried = new Set<string>();
+		const triedInstances = new Set<string>();
 		for (let attempt = 0; ; attempt += 1) {
-			const acquired = await this.#acquirePlacement(read, context, tried);
+			const acquired = await this.#acquirePlacement(read, context, triedInstances);
 			if (acquired.isLeft()) {
 				return acquired;
 			}
@@ -55,23 +55,23 @@
 				return Right(result.response);
 			}
 
-			tried.add(placement.instance.name);
+			triedInstances.add(placement.instance.name);
 			if (!result.isEndpointRefusal && !retryBudget.acquireRetry()) {
 				return Left(refusals.overloaded(read.group.state.name, getRetryDelayMs(attempt, this.dependencies.getRandom())));
 			}
 
-			if (tried.size >= read.group.state.instances.length) {
-				tried.clear();
+			if (triedInstances.size >= read.group.state.instances.length) {
+				triedInstances.clear();
 				await delay(Math.min(getRetryDelayMs(attempt, this.dependencies.getRandom()), Math.max(0, context.deadline - clock.getNow())));
 			}
 		}
 	}
 
-	async #acquirePlacement(read: ReadRequest, context: RequestContext, tried: ReadonlySet<string>): Promise<Either<Refusal, Placement>> {
+	async #acquirePlacement(read: ReadRequest, context: RequestContext, triedInstances: ReadonlySet<string>): Promise<Either<Refusal, Placement>> {
 		const {router, clock, metrics} = this.dependencies;
 		const startedAt = clock.getNow();
 		const requirements = {
-			position: read.watermark.position, primaryOnly: read.watermark.primaryOnly, maxStalenessMs: read.maxStalenessMs, tried,
+			position: read.watermark.position, primaryOnly: read.watermark.primaryOnly, maxStalenessMs: read.maxStalenessMs, tried: triedInstances,
 		};
 		const placement = await read.group.dispatcher.acquirePlacement({
 			account: read.caller.account,
--- a/packages/proxy/src/requests/request-context.ts
+++ b/packages/proxy/src/requests/request-context.ts
@@ -2,7 +2,7 @@
 
 /** Headers, deadline and trace of a request. */
 export type RequestContext = {
-	/** Value of the Authorization header. */
+	/** Value of the Authorization header; empty if absent. */
 	readonly authorization: string;
 	/** Value of the Idempotency-Key header; empty if absent. */
 	readonly idempotencyKey: string;
--- a/packages/proxy/src/requests/request-dependencies.ts
+++ b/packages/proxy/src/requests/request-dependencies.ts
@@ -7,7 +7,7 @@
 import {type SessionTokenCodec} from '../sessions/index.js';
 import {type ClaimRegistry} from './claim-registry.js';
 
-/** Policy of acknowledging a write: once a replica holds it, or at once when the primary has responded. */
+/** When a write is acknowledged: `replica` once a replica holds it, `at-once` as soon as the primary has responded. */
 export type AcknowledgePolicy = 'replica' | 'at-once';
 
 /** Dependencies of the request and transaction runners. */
--- a/packages/proxy/src/requests/request-runner.ts
+++ b/packages/proxy/src/requests/request-runner.ts
@@ -14,7 +14,7 @@
 export type RouteRequest = {
 	readonly route: string;
 	readonly parameters: Readonly<Record<string, string>>;
-	/** Session token. */
+	/** Session token, empty for a new session. */
 	readonly session: string;
 	/** Staleness that the caller accepts, in milliseconds; zero for the setting of the route. */
 	readonly acceptedStalenessMs: number;
--- a/packages/proxy/src/requests/write-runner.ts
+++ b/packages/proxy/src/requests/write-runner.ts
@@ -13,7 +13,7 @@
 import {type RequestDependencies} from './request-dependencies.js';
 import {delay} from './delay.js';
 
-/** One write, with the id under which it is recorded. */
+/** One write, with the id under which the group may record it. */
 export type WriteRequest = {
 	readonly route: Route;
 	readonly group: Group;
@@ -22,7 +22,9 @@
 	/** Weight of the account in the queue. */
 	readonly weight: number;
 	readonly requestClass: RequestClass;
+	/** Id under which the group records a write of the class `recorded-write`. */
 	readonly recordId: string;
+	/** Hash of the route and parameters, by which a reuse of the id for another request is detected. */
 	readonly bodyHash: string;
 };
 
@@ -185,7 +187,7 @@
 	}
 }
 
-/** Chooses the primary if it is reachable and, in a group with replicas, one of them is reachable to confirm its writes. */
+/** Chooses the primary, or waits if it has no capacity; chooses none if it is unreachable or the group has replicas and none of them can be reached to confirm writes. */
 export function choosePrimary(group: Group): ReadChoice {
 	const {primary, replicas} = group.state;
 	if (!primary?.isReachable) {
--- a/packages/proxy/src/server/caller-server.ts
+++ b/packages/proxy/src/server/caller-server.ts
@@ -9,7 +9,7 @@
 	readonly maxBodyBytes: number;
 	/** Maximum deadline of a request, in milliseconds. */
 	readonly maxDeadlineMs: number;
-	/** Returns whether the proxy drains, so that connections are closed after the current response. */
+	/** Returns whether the proxy drains; connections are then closed after the current response. */
 	isDraining(): boolean;
 };
 
--- a/packages/proxy/src/server/listeners.ts
+++ b/packages/proxy/src/server/listeners.ts
@@ -59,12 +59,16 @@
 		}
 	}
 
+	/** Sets the request listeners of the HTTP/1.1 and HTTP/2 caller ports. */
 	setCallerListener(listener: RequestListener, http2Listener: Http2Listener): void {
 		this.caller.on('request', listener);
 		this.callerHttp2.on('request', http2Listener);
 	}
 
-	/** Stops accepting callers and waits for the requests in flight, at most `timeoutMs`; then closes the HTTP/1.1 connections. */
+	/**
+	 * Stops accepting callers and waits for the requests in flight; then closes the HTTP/1.1 connections.
+	 * @param timeoutMs - Maximum time to wait, in milliseconds.
+	 */
 	async closeCallerPorts(timeoutMs: number): Promise<void> {
 		const closed = [closeServer(this.caller), ...this.callerHttp2.listening ? [closeServer(this.callerHttp2)] : []];
 		this.caller.closeIdleConnections();
--- a/packages/proxy/src/services/caller-handlers.ts
+++ b/packages/proxy/src/services/caller-handlers.ts
@@ -15,7 +15,7 @@
 } from '../requests/index.js';
 import {type TransactionRunner} from '../transactions/index.js';
 
-/** Methods that run on the VM that holds the transaction. */
+/** A method that runs on the VM that holds the transaction. */
 export type TransactionMethod = 'run' | 'commit' | 'roll-back';
 
 /** Dependencies of the caller handlers. */
--- a/packages/proxy/src/services/operator-service.ts
+++ b/packages/proxy/src/services/operator-service.ts
@@ -26,6 +26,7 @@
 	readonly metrics: Metrics;
 };
 
+/** Number of changes in a history response if the request gives no limit. */
 const defaultHistoryLength = 20;
 
 /**
--- a/packages/proxy/src/sessions/session-token-codec.ts
+++ b/packages/proxy/src/sessions/session-token-codec.ts
@@ -66,7 +66,7 @@
 			: Left(refusals.invalidSession('belongs to another client account'));
 	}
 
-	/** Returns the signing key, cached until the secret changes. */
+	/** Returns the signing key, cached until the secret changes; undefined if there is none. */
 	#getSecretKey(): KeyObject | undefined {
 		const text = this.getSecret();
 		if (text !== undefined && text !== this.#secretText) {
--- a/packages/proxy/src/settings/load-settings.ts
+++ b/packages/proxy/src/settings/load-settings.ts
@@ -5,14 +5,15 @@
 import {type z} from 'zod';
 import {type Settings, settingsSchema} from './settings.js';
 
-function formatLine(text: string, path: readonly PropertyKey[]): string {
+/** Returns a colon and the line of a setting, empty if the line is not found. */
+function formatLineSuffix(text: string, path: readonly PropertyKey[]): string {
 	const line = findSettingLine(text, String(path.at(-1) ?? ''));
 	return line === undefined ? '' : `:${line}`;
 }
 
 function formatIssue(file: string, text: string, issue: z.core.$ZodIssue): string {
 	const path = issue.code === 'unrecognized_keys' ? [...issue.path, ...issue.keys] : issue.path;
-	return `${file}${formatLine(text, path)}: ${path.join('.') || 'settings'}: ${issue.message}`;
+	return `${file}${formatLineSuffix(text, path)}: ${path.join('.') || 'settings'}: ${issue.message}`;
 }
 
 /**
