--- a/packages/proxy/src/groups/dispatcher.ts
+++ b/packages/proxy/src/groups/dispatcher.ts
@@ -34,14 +34,14 @@
 type Waiter = {
 	readonly request: PlacementRequest;
 	readonly resolve: (placement: Either<Refusal, Placement>) => void;
-	/** Whether an instance could have served the request at the last attempt to place it. */
+	/** Whether an instance that can serve the request existed at the last attempt to place it. */
 	hadUsableInstance: boolean;
 };
 
 /** Interval at which the queue is checked for passed deadlines, in milliseconds. */
 const sweepIntervalMs = 20;
 
-/** Assigns the connections of one group to waiting requests. */
+/** Assigns the connections of one group to requests, and queues the requests that have to wait. */
 export class Dispatcher {
 	readonly #queue: FairQueue<Waiter>;
 	#sweepTimer: NodeJS.Timeout | undefined;
@@ -55,7 +55,7 @@
 		return this.#queue.size;
 	}
 
-	/** Waits for a connection to an instance that can serve a request; refuses at once if the estimated wait exceeds the deadline. */
+	/** Waits for a connection to an instance that can serve a request; refuses at once if the estimated wait ends after the deadline. */
 	async acquirePlacement(request: PlacementRequest): Promise<Either<Refusal, Placement>> {
 		const now = this.clock.getNow();
 		if (this.#queue.size === 0) {
@@ -78,12 +78,12 @@
 				deadline: request.deadline,
 				value: {request, resolve, hadUsableInstance: true},
 			});
-			this.placeWaiting();
+			this.placeQueuedRequests();
 		});
 	}
 
 	/** Assigns free connections to queued requests and refuses those whose deadline has passed. */
-	placeWaiting(): void {
+	placeQueuedRequests(): void {
 		const now = this.clock.getNow();
 		for (const entry of this.#queue.removeExpired(now)) {
 			entry.value.resolve(Left(entry.value.hadUsableInstance ? refusals.deadlineNotRun() : refusals.noPrimary(this.group.name)));
@@ -111,7 +111,7 @@
 		if (this.#queue.size > 0 && this.#sweepTimer === undefined) {
 			this.#sweepTimer = setTimeout(() => {
 				this.#sweepTimer = undefined;
-				this.placeWaiting();
+				this.placeQueuedRequests();
 			}, sweepIntervalMs);
 		}
 	}
@@ -138,14 +138,14 @@
 			release: isClean => {
 				instance.inUse -= 1;
 				pool.releaseConnection(connection, isClean);
-				this.placeWaiting();
+				this.placeQueuedRequests();
 			},
 		};
 	}
 
 	/**
-	 * Estimates the wait from the mean latency and the number of requests ahead.
-	 * These are one of each other account for every queued request of this account, as in fair queueing, or the whole queue if that is less.
+	 * Estimates the time that a request waits in the queue, in milliseconds, from the mean latency and the number of requests ahead of it.
+	 * Fair queueing serves one request of each other account between two requests of this account; the whole queue is the upper bound.
 	 */
 	#estimateWaitMs(request: PlacementRequest): number {
 		const reachable = this.group.instances.filter(instance => instance.isReachable);
--- a/packages/proxy/src/groups/group-registry.ts
+++ b/packages/proxy/src/groups/group-registry.ts
@@ -40,6 +40,7 @@
 
 	constructor(private readonly vm: string, private readonly connector: EndpointConnector, private readonly promoter: Promoter, private readonly clock: Clock, private readonly queuePolicy: QueuePolicy) {}
 
+	/** Returns a group, undefined if the configuration does not contain it. */
 	getGroup(name: string): Group | undefined {
 		return this.#groups.get(name);
 	}
@@ -48,7 +49,7 @@
 		return [...this.#groups.values()];
 	}
 
-	/** Returns the VMs that monitor a group, by rank. */
+	/** Returns the names of the VMs that monitor a group, ordered by rank; empty for an unknown group. */
 	getMonitors(group: string): readonly string[] {
 		return this.#monitors.get(group) ?? [];
 	}
@@ -71,7 +72,7 @@
 			group.setEndpoints(configuration.getEndpoints(name), vmCount);
 			const monitors = chooseMonitors(name, vms);
 			this.#monitors.set(name, monitors);
-			group.isMonitored = monitors.includes(this.vm);
+			group.isMonitoredLocally = monitors.includes(this.vm);
 		}
 
 		for (const [name, group] of this.#groups) {
@@ -82,7 +83,7 @@
 		}
 	}
 
-	/** Probes the instances that are due and starts a promotion where the monitors agree that the primary has failed. */
+	/** Probes the instances that are due and starts a promotion where a majority of the monitors agrees that the primary has failed. */
 	checkGroups(): void {
 		for (const group of this.#groups.values()) {
 			group.checkInstances();
@@ -100,7 +101,7 @@
 		const {name} = group.state;
 		const now = this.clock.getNow();
 		const monitors = this.getMonitors(name);
-		if (!group.isMonitored || this.#promotingGroups.has(name) || !group.detector.isPromotionDue(this.vm, monitors, now)) {
+		if (!group.isMonitoredLocally || this.#promotingGroups.has(name) || !group.detector.isPromotionDue(this.vm, monitors, now)) {
 			this.#promotionDueSince.delete(name);
 			return;
 		}
--- a/packages/proxy/src/groups/group.ts
+++ b/packages/proxy/src/groups/group.ts
@@ -32,8 +32,8 @@
 	readonly detector: FailureDetector;
 	readonly confirmer: WriteConfirmer;
 	readonly dispatcher: Dispatcher;
-	/** Whether this VM is one of those that monitor the group. */
-	isMonitored = false;
+	/** Whether this VM is one of the monitors of the group. */
+	isMonitoredLocally = false;
 	readonly #pools = new Map<string, EndpointConnectionPool>();
 	readonly #lastResponseAt = new Map<string, number>();
 	readonly #lastProbeAt = new Map<string, number>();
@@ -46,6 +46,7 @@
 		this.dispatcher = new Dispatcher(this.state, instance => this.#pools.get(instance), clock, queuePolicy);
 	}
 
+	/** Returns the connections to an instance, undefined if it is not in the group. */
 	getPool(instance: string): EndpointConnectionPool | undefined {
 		return this.#pools.get(instance);
 	}
@@ -64,7 +65,7 @@
 			this.#addOrUpdateInstance(endpoint, vmCount);
 		}
 
-		this.dispatcher.placeWaiting();
+		this.dispatcher.placeQueuedRequests();
 	}
 
 	/** Whether every instance has been probed at least once. */
@@ -125,6 +126,7 @@
 		this.confirmer.recheckPendingWrites();
 	}
 
+	/** Closes the connections to all instances. */
 	close(): void {
 		for (const pool of this.#pools.values()) {
 			pool.close();
@@ -141,7 +143,7 @@
 
 	#handlePrimaryChange(): void {
 		this.confirmer.recheckPendingWrites();
-		this.dispatcher.placeWaiting();
+		this.dispatcher.placeQueuedRequests();
 	}
 
 	#getProbeIntervalMs(instance: InstanceView, now: number): number {
@@ -149,7 +151,7 @@
 			return probeIntervalsMs.suspected;
 		}
 
-		if (!this.isMonitored) {
+		if (!this.isMonitoredLocally) {
 			return probeIntervalsMs.unmonitored;
 		}
 
--- a/packages/proxy/src/groups/promoter.ts
+++ b/packages/proxy/src/groups/promoter.ts
@@ -16,7 +16,7 @@
 const lateResponseGraceMs = 50;
 const termClaimSchema = z.object({term: z.number(), promoter: z.string()});
 
-/** Result of claiming a term in the platform's table; 'no-answer' if it failed or timed out. */
+/** Result of claiming a term in the platform's table: `taken` if the row holds the term of another promoter or a later term or was changed meanwhile, `no-answer` if the table failed or timed out. */
 type TermClaimResult = 'claimed' | 'taken' | 'no-answer';
 
 /** Promotes an instance of a group to primary. */
@@ -29,8 +29,8 @@
 
 	/**
 	 * Makes one attempt to promote an instance.
-	 * The table decides which promoter owns the term. If it does not answer, a majority of the
-	 * instances decides, since each of them accepts a term from one promoter only.
+	 * The table decides which promoter owns the term. If the table does not answer, a majority of the
+	 * instances decides, since each instance accepts a term from one promoter only.
 	 */
 	async promoteGroup(group: Group): Promise<void> {
 		const term = 1 + Math.max(group.state.term, ...group.state.instances.map(instance => instance.term));
--- a/packages/proxy/src/groups/write-confirmer.ts
+++ b/packages/proxy/src/groups/write-confirmer.ts
@@ -5,7 +5,7 @@
 import {type Clock} from '../observability/index.js';
 import {type EndpointConnectionPort, formatPosition, parseInstanceStatus} from '../endpoints/index.js';
 
-/** Result of waiting for a replica to hold a write: 'unconfirmed' if a later term began first. */
+/** Result of waiting for a replica to hold a write: `unconfirmed` if a later term began first, `timed-out` if the deadline passed first. */
 export type Confirmation = 'confirmed' | 'unconfirmed' | 'timed-out';
 
 type PendingWrite = {
@@ -17,10 +17,10 @@
 	readonly resolve: (confirmation: Confirmation) => void;
 };
 
-/** Time that a replica may hold a probe until it reaches a position, in milliseconds. */
+/** Maximum time that a replica delays its response to a probe until it reaches a position, in milliseconds. */
 const maxProbeWaitMs = 500;
 
-/** Waits until replicas hold the writes that a primary has executed. */
+/** Waits until a replica of a group holds the writes that the primary has executed. */
 export class WriteConfirmer {
 	#pending: PendingWrite[] = [];
 	readonly #polledReplicas = new Set<string>();
@@ -111,7 +111,7 @@
 		}
 
 		const replicas = this.group.instances.filter(instance => instance.name !== this.group.primaryName);
-		// A copy counts only if the last entry of the replica's log is of this term: entries that end in an older term may still be overwritten by a later primary.
+		// A replica whose last log entry is of an older term does not confirm the write, because a later primary may still overwrite its log.
 		return replicas.some(replica => replica.term === term && replica.position.term === term && isAtLeast(replica.position, position)) ? 'confirmed' : undefined;
 	}
 
--- a/packages/proxy/src/limits/account-limiter.ts
+++ b/packages/proxy/src/limits/account-limiter.ts
@@ -13,16 +13,22 @@
 import {formatAllocatorState} from './allocator-state-codec.js';
 import {formatReport, parseGrant} from './share-codec.js';
 
-/** Names of the policies that divide the limits of an account between VMs. */
+/**
+ * Policy that divides the limits of an account between VMs: `product` by demand, through the allocator that holds the lease of the account;
+ * `static-split` in equal parts; `owner` through one VM per account, which grants tokens for waiting requests only.
+ */
 export type LimitPolicyName = 'product' | 'static-split' | 'owner';
 
+/** Timeout of a demand report to an allocator, in milliseconds. */
 const reportTimeoutMs = 400;
+/** Timeout of the hand-over of a lease, in milliseconds. */
 const handOverTimeoutMs = 1000;
+/** Interval at which waiting requests are checked for a decision, in milliseconds. */
 const sweepIntervalMs = 10;
-/** Validity of a share under the static split, in milliseconds: practically unlimited. */
+/** Validity of a share under the `static-split` policy, in milliseconds; long enough that it never expires. */
 const staticShareValidityMs = 1e12;
 
-/** How a successor answered the hand-over of a lease; after no answer it may still have taken over. */
+/** Response of a successor to the hand-over of a lease; after `no-answer` it may hold the lease nonetheless. */
 type HandOverOutcome = 'taken' | 'declined' | 'no-answer';
 
 type PendingRequest = {readonly account: string; readonly resolve: (result: Either<Refusal, void>) => void};
@@ -67,7 +73,11 @@
 		}
 	}
 
-	/** Waits until the limits of an account admit a request, or refuses the request. */
+	/**
+	 * Waits until the limits of an account admit a request, or refuses the request; admits it at once if the account has no limits.
+	 * @param account - Client account of the request.
+	 * @param deadline - Time until which the request may wait, in monotonic milliseconds.
+	 */
 	async admitRequest(account: string, deadline: number): Promise<Either<Refusal, void>> {
 		const {clock} = this.dependencies;
 		if (this.#getLimits(account) === undefined) {
@@ -76,7 +86,7 @@
 
 		const id = this.#nextId;
 		this.#nextId += 1;
-		const client = this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account));
+		const client = this.#getAllocatorClient(this.#allocatorNameByPolicy[this.dependencies.policy](account));
 		const decision = client.admission.requestAdmission(id, account, deadline, clock.getNow());
 		if (decision !== undefined) {
 			return this.#createResult(decision, account);
@@ -102,7 +112,7 @@
 		this.#resolveDecidedRequests();
 	}
 
-	/** Returns the grant for a demand report, undefined where this VM is not the allocator. */
+	/** Returns the grant for a demand report, undefined if this VM is not the allocator. */
 	handleReport(report: DemandReport, lease: string): ShareGrant | undefined {
 		const now = this.dependencies.clock.getNow();
 		if (this.dependencies.policy === 'owner') {
@@ -159,15 +169,16 @@
 
 	/** Returns the tokens that this VM holds for an account. */
 	getTokens(account: string): number {
-		return this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account)).admission.holder.getTokens(account, this.dependencies.clock.getNow());
+		return this.#getAllocatorClient(this.#allocatorNameByPolicy[this.dependencies.policy](account)).admission.holder.getTokens(account, this.dependencies.clock.getNow());
 	}
 
 	/** Returns the part of an account's rate that is granted to this VM, in tokens per second. */
 	getLocalRate(account: string): number {
-		return this.#getAllocatorClient(this.#allocatorNames[this.dependencies.policy](account)).admission.holder.getRate(account, this.dependencies.clock.getNow());
+		return this.#getAllocatorClient(this.#allocatorNameByPolicy[this.dependencies.policy](account)).admission.holder.getRate(account, this.dependencies.clock.getNow());
 	}
 
-	readonly #allocatorNames: Readonly<Record<LimitPolicyName, (account: string) => string>> = {
+	/** Functions that return the name of an account's allocator: its lease under `product`, empty under `static-split`, its VM under `owner`. */
+	readonly #allocatorNameByPolicy: Readonly<Record<LimitPolicyName, (account: string) => string>> = {
 		product: account => this.dependencies.leases.getLeaseForAccount(account),
 		'static-split': () => '',
 		owner: account => this.#findOwner(account),
@@ -231,7 +242,7 @@
 		return rankVms(lease, membership.getLiveVms().filter(name => voters.includes(name)))[0];
 	}
 
-	/** Hands a lease over; if no VM takes it, releases it once every grant has expired. */
+	/** Hands a lease over to the first live voter in its order; if that VM does not take it, releases it once every grant has expired. */
 	async #handOverOrRelease(participant: LeaseParticipant): Promise<void> {
 		const successor = this.#findSuccessor(participant.lease);
 		const allocator = this.#allocators.get(participant.lease);
--- a/packages/proxy/src/limits/allocator-client.ts
+++ b/packages/proxy/src/limits/allocator-client.ts
@@ -3,7 +3,7 @@
 } from '@chicorysaddle/decisions';
 import {type Clock} from '../observability/index.js';
 
-/** Sends a demand report to the allocator; returns its grant, undefined when it grants nothing or does not answer. */
+/** Sends a demand report to the allocator; returns its grant, undefined if it grants nothing or does not answer. */
 export type ReportSender = (report: DemandReport) => Promise<ShareGrant | undefined>;
 
 /** Admits requests against the shares granted by one allocator, with at most one report in flight. */
--- a/packages/proxy/src/limits/lease-participant.ts
+++ b/packages/proxy/src/limits/lease-participant.ts
@@ -6,11 +6,13 @@
 import {type Membership} from '../membership/index.js';
 import {rankVms} from './rank-vms.js';
 
-/** Duration of the lease, in milliseconds. */
+/** Duration of a lease, in milliseconds. */
 export const leaseMs = 1500;
-/** Time between two renewals, in milliseconds. */
+/** Time between two renewals of a lease, in milliseconds. */
 export const renewalIntervalMs = 600;
+/** Delay per rank of a candidate before it tries to acquire a vacant lease, in milliseconds; avoids competing attempts. */
 const staggerMs = 60;
+/** Timeout of a request that asks a voter for its promise or releases it, in milliseconds. */
 const promiseTimeoutMs = 300;
 
 /** Acquires and renews one lease as a candidate, and votes on it for the other VMs. */
@@ -29,15 +31,17 @@
 		return this.membership.id;
 	}
 
+	/** Highest term of the lease that this process knows. */
 	get term(): number {
 		return Math.max(this.#candidate.term, this.#voter.term);
 	}
 
-	/** Time until which this process holds the lease. */
+	/** Time until which this process holds the lease, in monotonic milliseconds. */
 	get heldUntil(): number {
 		return this.#candidate.heldUntil;
 	}
 
+	/** Returns whether this process holds the lease. */
 	isHeld(now: number): boolean {
 		return this.#candidate.isHeld(now);
 	}
@@ -47,7 +51,7 @@
 		this.#onAcquired = listener;
 	}
 
-	/** Returns the holder known to this VM, empty for none. A promise by this VM to itself does not count, since the lease takes a majority. */
+	/** Returns the holder known to this VM, empty for none; a promise by this VM to itself does not count, since only a majority of promises makes a holder. */
 	getHolder(now: number): string {
 		const promised = this.#voter.getHolder(now);
 		if (this.isHeld(now)) {
@@ -57,7 +61,7 @@
 		return promised === this.id ? '' : promised;
 	}
 
-	/** Returns the name of the VM that holds the lease, from the report with the highest term, undefined if no holder is known. */
+	/** Returns the name of the VM that holds the lease, by the highest term that this VM and its peers report; undefined if no holder is known. */
 	findHolderVm(now: number): string | undefined {
 		const ownHolder = this.getHolder(now);
 		const reports = this.membership.peers
@@ -68,7 +72,7 @@
 		return newest?.holder.split('#', 1)[0];
 	}
 
-	/** Answers a candidate's request. A candidate with an older configuration gets no promise, since it may not know all voters. */
+	/** Answers a candidate's request; a candidate with an older configuration than this VM gets no promise, since it may not know all voters. */
 	handlePromiseRequest(request: PromiseRequest, configurationVersion: number): PromiseAnswer {
 		const now = this.clock.getNow();
 		this.#candidate.observeTerm(request.term - 1);
@@ -84,8 +88,8 @@
 		this.#voter.release(holder);
 	}
 
-	/** Renews the lease when that is due, or tries to acquire it when it is vacant. */
-	async renewOrSeek(): Promise<void> {
+	/** Renews the lease if that is due, or tries to acquire it if it is vacant. */
+	async renewOrAcquire(): Promise<void> {
 		const now = this.clock.getNow();
 		const voters = this.configuration.current.getVoterNames();
 		const isRetiring = this.membership.isDraining && !this.isHeld(now);
@@ -105,7 +109,11 @@
 		}
 	}
 
-	/** Tries to acquire the lease at once, as the successor chosen by its holder; returns whether it is held. */
+	/**
+	 * Tries to acquire the lease at once, as the successor chosen by its holder; returns whether this process then holds it.
+	 * @param predecessor - Id of the holder that hands the lease over.
+	 * @param term - Term of the predecessor.
+	 */
 	async takeOver(predecessor: string, term: number): Promise<boolean> {
 		const now = this.clock.getNow();
 		this.#predecessor = predecessor;
@@ -127,7 +135,7 @@
 			try {
 				await peer.client.releaseLease({lease: this.lease, holder: this.id}, {timeoutMs: promiseTimeoutMs});
 			} catch {
-				// The peer's promise expires.
+				// The promise of an unreachable peer expires by itself.
 			}
 		}));
 	}
@@ -142,7 +150,7 @@
 				this.#onAcquired(now);
 			}
 		}));
-		// Grants made under a lease that was held may still be in use: its promises are left to expire.
+		// If the lease was held, grants made under it may still be in use, so its promises are left to expire.
 		if (!wasHeld && !this.isHeld(this.clock.getNow())) {
 			await this.releasePromises();
 		}
--- a/packages/proxy/src/limits/lease-registry.ts
+++ b/packages/proxy/src/limits/lease-registry.ts
@@ -29,18 +29,18 @@
 		return this.#participants[hash % partitionCount]!.lease;
 	}
 
-	/** Returns the leases that this VM holds; other holders report their own. */
+	/** Returns the leases that this VM holds; each VM reports only its own. */
 	getHeldLeases(now: number): Array<{lease: string; holder: string; term: number}> {
 		return this.#participants.filter(participant => participant.isHeld(now)).map(participant => ({lease: participant.lease, holder: participant.getHolder(now), term: participant.term}));
 	}
 
-	/** Returns whether every lease has a known holder. */
+	/** Returns whether a holder of every lease is known. */
 	isEveryLeaseHeld(now: number): boolean {
 		return this.#participants.every(participant => participant.findHolderVm(now) !== undefined);
 	}
 
 	/** Renews the held leases and tries to acquire the vacant ones. */
-	async renewOrSeek(): Promise<void> {
-		await Promise.all(this.#participants.map(async participant => participant.renewOrSeek()));
+	async renewOrAcquire(): Promise<void> {
+		await Promise.all(this.#participants.map(async participant => participant.renewOrAcquire()));
 	}
 }
--- a/packages/proxy/src/limits/share-codec.ts
+++ b/packages/proxy/src/limits/share-codec.ts
@@ -27,7 +27,7 @@
 	return {...report, appliedSequence: BigInt(report.appliedSequence), accounts: [...report.accounts]};
 }
 
-/** Parses a grant from its message, undefined when nothing is granted. */
+/** Parses a grant from its message, undefined if nothing is granted. */
 export function parseGrant(grant: WireGrant): ShareGrant | undefined {
 	return grant.granted
 		? {
@@ -40,7 +40,7 @@
 		: undefined;
 }
 
-/** Formats a grant as its message. */
+/** Formats a grant as its message; undefined becomes a message that grants nothing. */
 export function formatGrant(grant: ShareGrant | undefined): MessageInitShape<typeof ShareGrantSchema> {
 	return grant === undefined
 		? {granted: false}
--- a/packages/proxy/src/membership/membership.ts
+++ b/packages/proxy/src/membership/membership.ts
@@ -4,30 +4,31 @@
 
 /** Time after which a peer that is neither listed nor in contact is removed, in milliseconds. */
 const peerExpiryMs = 10_000;
-/** Time since its last answered request after which a peer no longer counts as live, in milliseconds. */
+/** Maximum time since the latest poll that a live peer has answered, in milliseconds. */
 const livenessTimeoutMs = 3000;
-/** Time without a restart after which a live peer counts as stable, in milliseconds. */
+/** Minimum time without a restart for a live peer to count as stable, in milliseconds. */
 const minStableMs = 3000;
 
 /** Identity of this VM, as its peers see it. */
 export type LocalVm = {
 	readonly name: string;
+	/** Random id of this process, which differs after a restart. */
 	readonly incarnation: string;
 	readonly zone: string;
-	/** Address of the peer port. */
+	/** Host and port of the peer listener. */
 	readonly address: string;
 };
 
-/** The VMs that this proxy knows, from the platform's VM list, which lags, and from the peers themselves. */
+/** The VMs that this proxy knows: those in the platform's VM list, which may be outdated, and those that have sent it a request. */
 export class Membership {
 	readonly #peers = new Map<string, Peer>();
 	#listedVms = new Map<string, ListedVm>();
-	/** Whether this VM takes no new work. */
+	/** Whether this VM drains and takes no new work. */
 	isDraining = false;
 
 	constructor(readonly self: LocalVm, private readonly vmList: VmList, private readonly peerOptions: PeerOptions, private readonly clock: Clock) {}
 
-	/** VM and incarnation of this process. */
+	/** VM and incarnation of this process, separated by `#`. */
 	get id(): string {
 		return `${this.self.name}#${this.self.incarnation}`;
 	}
@@ -40,6 +41,7 @@
 		return this.#peers.get(name);
 	}
 
+	/** Returns whether the platform's VM list contains a VM. */
 	isListed(name: string): boolean {
 		return this.#listedVms.has(name);
 	}
@@ -50,8 +52,8 @@
 	}
 
 	/**
-	 * Returns how many VMs share the connections of an endpoint, infinity while this VM is not listed,
-	 * since the others do not count it yet.
+	 * Returns how many VMs share the connections of an endpoint; infinity while this VM is not listed,
+	 * because the other VMs do not count it yet.
 	 */
 	countEndpointSharers(voters: readonly string[]): number {
 		return this.isListed(this.self.name) ? Math.max(this.getVms().length, voters.length) : Number.POSITIVE_INFINITY;
@@ -71,6 +73,7 @@
 		return peer !== undefined && this.isLive(peer, now) && now - peer.incarnationSince >= minStableMs;
 	}
 
+	/** Returns whether a peer has answered a poll recently. */
 	isLive(peer: Peer, now: number): boolean {
 		return now - peer.answeredRequestSentAt <= livenessTimeoutMs;
 	}
@@ -96,6 +99,7 @@
 		return peer;
 	}
 
+	/** Closes the connections to all peers. */
 	close(): void {
 		for (const peer of this.peers) {
 			peer.close();
--- a/packages/proxy/src/membership/peer-state-exchange.ts
+++ b/packages/proxy/src/membership/peer-state-exchange.ts
@@ -19,6 +19,7 @@
 	readonly groups: GroupRegistry;
 	readonly leases: LeaseRegistry;
 	readonly clock: Clock;
+	/** Timeout of a poll, in milliseconds. */
 	readonly timeoutMs: number;
 };
 
@@ -28,15 +29,16 @@
 
 	constructor(private readonly dependencies: PeerStateExchangeDependencies) {}
 
+	/** Polls every peer once. */
 	async pollPeers(): Promise<void> {
 		await Promise.all(this.dependencies.membership.peers.map(async peer => this.pollPeer(peer)));
 	}
 
-	/** Polls the other watchers of each group whose primary is suspected to have failed. */
-	pollWatchersOfSuspectedGroups(): void {
+	/** Polls the other monitors of each group that this VM monitors and whose primary it suspects to have failed. */
+	pollMonitorsOfSuspectedPrimaries(): void {
 		const now = this.dependencies.clock.getNow();
 		for (const group of this.dependencies.groups.getGroups()) {
-			if (!group.isMonitored || !group.detector.isPrimarySuspected(now)) {
+			if (!group.isMonitoredLocally || !group.detector.isPrimarySuspected(now)) {
 				continue;
 			}
 
@@ -50,7 +52,7 @@
 		}
 	}
 
-	/** Polls one peer and applies its answer; its freshness counts only once this VM has caught up with its configuration. */
+	/** Polls one peer and applies its response; the freshness that it reports counts only once this VM has the peer's configuration version. */
 	async pollPeer(peer: Peer): Promise<void> {
 		const {membership, configuration, clock} = this.dependencies;
 		const sentAt = clock.getNow();
@@ -65,7 +67,7 @@
 			}, {timeoutMs: this.dependencies.timeoutMs});
 			await this.#applyResponse(peer, response, sentAt);
 		} catch {
-			// The peer stops counting as live when no later poll succeeds.
+			// The peer no longer counts as live if the later polls fail too.
 		}
 	}
 
@@ -85,9 +87,9 @@
 			incarnation: membership.self.incarnation,
 			configurationVersion: BigInt(configuration.version),
 			synchronized: freshness.isSynchronized,
-			storeWordAgeMs: roundAge(freshness.getStoreSyncAgeMs(now)),
+			storeWordAgeMs: roundAgeMs(freshness.getStoreSyncAgeMs(now)),
 			draining: membership.isDraining,
-			groups: groups.getGroups().filter(group => group.isMonitored).map(group => ({
+			groups: groups.getGroups().filter(group => group.isMonitoredLocally).map(group => ({
 				group: group.state.name,
 				term: BigInt(group.state.term),
 				primary: group.state.primaryName ?? '',
@@ -133,23 +135,24 @@
 	}
 
 	#applyGroupReports(response: ExchangeResponse, sentAt: number): void {
-		for (const view of response.groups) {
-			const group = this.dependencies.groups.getGroup(view.group);
+		for (const report of response.groups) {
+			const group = this.dependencies.groups.getGroup(report.group);
 			if (group === undefined) {
 				continue;
 			}
 
-			if (view.primary !== '') {
-				group.observePrimary(Number(view.term), view.primary);
+			if (report.primary !== '') {
+				group.observePrimary(Number(report.term), report.primary);
 			}
 
 			group.detector.observeReport({
-				vm: response.vm, term: Number(view.term), failingMs: view.failingMs, requestedAt: sentAt,
+				vm: response.vm, term: Number(report.term), failingMs: report.failingMs, requestedAt: sentAt,
 			});
 		}
 	}
 }
 
-function roundAge(ageMs: number | undefined): number | undefined {
+/** Rounds an age up to whole milliseconds that fit the unsigned 32-bit field of the message. */
+function roundAgeMs(ageMs: number | undefined): number | undefined {
 	return ageMs === undefined ? undefined : Math.min(0xFF_FF_FF_FF, Math.ceil(ageMs));
 }
--- a/packages/proxy/src/membership/peer.ts
+++ b/packages/proxy/src/membership/peer.ts
@@ -16,18 +16,19 @@
 export class Peer {
 	readonly client: Client<typeof PeerService>;
 	incarnation = '';
-	/** Time since which this incarnation is known. */
+	/** Time of the poll that first returned this incarnation, in monotonic milliseconds; infinity before the first response. */
 	incarnationSince = Number.POSITIVE_INFINITY;
 	configurationVersion = 0;
+	/** Whether the peer reports that it has known every accepted configuration change since its start. */
 	isSynchronized = false;
 	isDraining = false;
-	/** Whether the platform lists it as leaving. */
+	/** Whether the platform's VM list marks the VM as leaving. */
 	isLeaving = false;
-	/** Holder and term of each lease that it reports to hold. */
+	/** Holder and term of each lease that the peer reports to hold, by lease. */
 	leases: ReadonlyMap<string, {readonly holder: string; readonly term: number}> = new Map();
-	/** Time at which the latest request that it answered was sent. */
+	/** Time at which the latest poll that the peer answered was sent, in monotonic milliseconds. */
 	answeredRequestSentAt = Number.NEGATIVE_INFINITY;
-	/** Time at which it was last listed or last sent a request to this VM. */
+	/** Time at which the VM was last listed or last sent a request to this VM, in monotonic milliseconds. */
 	lastSeenAt = Number.NEGATIVE_INFINITY;
 	readonly #sessions: Http2SessionManager;
 
@@ -44,6 +45,7 @@
 		}));
 	}
 
+	/** Closes the connections to the peer. */
 	close(): void {
 		this.#sessions.abort();
 	}
--- a/packages/proxy/src/membership/voter-reconciler.ts
+++ b/packages/proxy/src/membership/voter-reconciler.ts
@@ -8,14 +8,14 @@
 
 /**
  * Reconciles the voters with the VMs that the platform lists.
- * One VM acts at a time, the first by name. Of concurrent changes one succeeds, by the expected version of the configuration.
+ * Normally only the first VM by name acts. If several act at once, only one change succeeds, because each expects the same configuration version.
  */
 export class VoterReconciler {
 	readonly #missingSince = new Map<string, number>();
 
 	constructor(private readonly configuration: ConfigurationReplica, private readonly membership: Membership, private readonly clock: Clock) {}
 
-	/** Adds this VM to the voters, or removes a voter that has been missing for too long. */
+	/** Adds this VM to the voters if it is the first to join, or removes a voter that has been missing for too long. */
 	async reconcile(): Promise<void> {
 		const {name} = this.membership.self;
 		const voters = this.configuration.current.getVoterNames();
--- a/packages/proxy/src/transactions/transaction-registry.ts
+++ b/packages/proxy/src/transactions/transaction-registry.ts
@@ -27,6 +27,7 @@
 
 	constructor(private readonly timeouts: TransactionTimeouts, private readonly clock: Clock) {}
 
+	/** Number of open transactions. */
 	get size(): number {
 		return this.#transactions.size;
 	}
@@ -35,11 +36,12 @@
 		return this.#transactions.get(id);
 	}
 
-	/** Returns the number of transactions that are open on an instance. */
+	/** Returns the number of open transactions on an instance. */
 	countTransactionsOn(instance: string): number {
 		return [...this.#transactions.values()].filter(transaction => transaction.placement.instance.name === instance).length;
 	}
 
+	/** Adds a transaction and starts its timeouts. */
 	addTransaction(newTransaction: NewTransaction): Transaction {
 		const now = this.clock.getNow();
 		const transaction: Transaction = {
@@ -70,8 +72,8 @@
 		}
 	}
 
-	/** Rolls back the transactions that have timed out, that have lost their connection or whose caller is no longer allowed. */
-	removeInvalid(isAllowed: (caller: CallerIdentity) => boolean): void {
+	/** Removes and rolls back the transactions that have timed out, that have lost their connection or whose caller is no longer allowed. */
+	removeInvalidTransactions(isAllowed: (caller: CallerIdentity) => boolean): void {
 		const now = this.clock.getNow();
 		for (const transaction of this.#transactions.values()) {
 			const isExpired = now >= transaction.expiresAt || (!transaction.isBusy && now >= transaction.idleExpiresAt);
--- a/packages/proxy/src/transactions/transaction-runner.ts
+++ b/packages/proxy/src/transactions/transaction-runner.ts
@@ -11,8 +11,8 @@
 import {isTransactionLost, type Transaction} from './transaction.js';
 import {type TransactionRegistry} from './transaction-registry.js';
 
-/** Connections to an instance that the transactions of this VM leave to other requests. */
-const reservedConnections = 1;
+/** Number of connections to an instance that the transactions of this VM leave to other requests. */
+const connectionsReservedForRequests = 1;
 
 /** A statement of a transaction. */
 export type StatementRequest = {
@@ -54,7 +54,7 @@
 			chooseInstance: () => {
 				const choice = choosePrimary(group);
 				const pool = choice.kind === 'send' ? group.getPool(choice.instance.name) : undefined;
-				return choice.kind === 'send' && this.dependencies.registry.countTransactionsOn(choice.instance.name) >= (pool?.maxRequestConnections ?? 0) - reservedConnections ? {kind: 'wait'} : choice;
+				return choice.kind === 'send' && this.dependencies.registry.countTransactionsOn(choice.instance.name) >= (pool?.maxRequestConnections ?? 0) - connectionsReservedForRequests ? {kind: 'wait'} : choice;
 			},
 		});
 		if (acquired.isLeft()) {
--- a/packages/proxy/src/wiring/container.ts
+++ b/packages/proxy/src/wiring/container.ts
@@ -110,7 +110,7 @@
 	})).inSingletonScope();
 }
 
-/** Creates a generator of unique IDs: a random prefix per process and a counter. */
+/** Creates a generator of unique ids, which consist of a random prefix and a counter. */
 function createIdGenerator(): () => string {
 	const prefix = randomBytes(idPrefixLengthBytes).toString('base64url');
 	let lastNumber = 0;
--- a/packages/proxy/src/wiring/proxy.ts
+++ b/packages/proxy/src/wiring/proxy.ts
@@ -65,11 +65,12 @@
 
 	/** Returns whether the proxy accepts new requests. */
 	isReady(): boolean {
-		const hasAllocator = this.settings.policy.limits !== 'product' || this.#getService(LeaseRegistry).isEveryLeaseHeld(this.#container.get(serviceIdentifiers.clock).getNow());
-		return !this.#getService(Membership).isDraining && hasAllocator && this.#getService(CallerAuthenticator).checkIdentity({account: '', keyHash: ''}).isRight() && this.#getService(ConfigurationReplica).version > 0 && this.#getService(GroupRegistry).areAllInstancesProbed;
+		const areAllocatorsAvailable = this.settings.policy.limits !== 'product' || this.#getService(LeaseRegistry).isEveryLeaseHeld(this.#container.get(serviceIdentifiers.clock).getNow());
+		// An empty identity passes the check whenever the configuration is fresh.
+		return !this.#getService(Membership).isDraining && areAllocatorsAvailable && this.#getService(CallerAuthenticator).checkIdentity({account: '', keyHash: ''}).isRight() && this.#getService(ConfigurationReplica).version > 0 && this.#getService(GroupRegistry).areAllInstancesProbed;
 	}
 
-	/** Reports unready, waits for transactions and requests in flight, returns the limit shares and leases, and closes. */
+	/** Reports unready, waits for the transactions and requests in flight, returns the shares of limits and the leases, and closes the proxy. */
 	async drain(): Promise<void> {
 		const {timeouts} = this.settings;
 		const logger = this.#getService(Logger);
@@ -164,7 +165,7 @@
 		};
 
 		const removeInvalidTransactions = () => {
-			registry.removeInvalid(caller => authenticator.checkIdentity(caller).isRight());
+			registry.removeInvalidTransactions(caller => authenticator.checkIdentity(caller).isRight());
 		};
 
 		configuration.addListener(rows => {
@@ -189,10 +190,10 @@
 		this.#startTask('balance', taskDelaysMs.leaseRebalancing, async () => this.#getService(AccountLimiter).rebalanceLeases());
 		// One timer for all frequent work, because waking up an idle process costs more than the work itself.
 		this.#startTask('tick', taskDelaysMs.tick, () => {
-			void this.#getService(LeaseRegistry).renewOrSeek();
+			void this.#getService(LeaseRegistry).renewOrAcquire();
 			void this.#getService(AccountLimiter).reportDemand();
 			groups.checkGroups();
-			exchange.pollWatchersOfSuspectedGroups();
+			exchange.pollMonitorsOfSuspectedPrimaries();
 		});
 		this.#startTask('sweep', taskDelaysMs.transactionSweep, removeInvalidTransactions);
 		this.#startTask('voters', taskDelaysMs.voterReconciliation, async () => this.#getService(VoterReconciler).reconcile());
