--- a/packages/model/src/configuration/configuration-row.ts
+++ b/packages/model/src/configuration/configuration-row.ts
@@ -7,44 +7,52 @@
 const nameSchema = z.string().min(1).max(maxNameLength).regex(/^[^\s\/\p{C}][^\/\p{C}]*$/v, 'must not hold "/" or control characters');
 const addressSchema = z.string().regex(/^[\w.:\[\]\-]+:\d{1,5}$/v, 'must be host:port');
 
-/** Limits of a client account: requests per second, the largest burst, and its weight in queues. */
+/** Schema of a client account's limits: requests per second, maximum burst in requests, and weight in queues. */
 export const accountSchema = z.object({
 	rate: z.number().positive(),
 	burst: z.number().min(1),
 	weight: z.number().positive().default(1),
 });
 
-/** An API key, stored under its SHA-256 hash. */
+/** Schema of an API key, whose row is named by the key's SHA-256 hash. */
 export const keySchema = z.object({account: nameSchema, label: z.string().default('')});
 
-/** A database group and what its instances support. */
-export const groupSchema = z.object({recordsRequestIds: z.boolean().default(true)});
+/** Schema of a database group. */
+export const groupSchema = z.object({
+	/** Whether the group records the request id of a write in the same transaction, so that the write does not run twice. */
+	recordsRequestIds: z.boolean().default(true),
+});
 
-/** One instance of a database group. */
+/** Schema of an instance of a database group. */
 export const endpointSchema = z.object({
 	group: nameSchema,
 	address: addressSchema,
 	zone: nameSchema,
+	/** Maximum number of requests that the instance runs at once. */
 	slots: z.number().int().positive(),
+	/** Maximum number of connections that the instance accepts from all VMs together. */
 	connections: z.number().int().positive(),
 	state: z.enum(['active', 'leaving']).default('active'),
 });
 
-/** A named operation on a database group. */
+/** Schema of a named operation on a database group. */
 export const routeSchema = z.object({
 	group: nameSchema,
 	access: z.enum(['read', 'write']),
+	/** Whether the operation may run twice. */
 	repeatable: z.boolean(),
 	priority: z.enum(['high', 'normal', 'low']).default('normal'),
+	/** Maximum staleness of a read, in milliseconds; zero means any. */
 	stalenessMs: z.number().int().min(0).default(0),
+	/** Whether the route may be called without an API key. */
 	open: z.boolean().default(false),
 	statement: z.string().min(1),
 });
 
-/** Key that signs session tokens: 64 hexadecimal digits. */
+/** Schema of a key that signs session tokens: 64 hexadecimal digits. */
 export const secretSchema = z.object({key: z.string().regex(/^[\da-f]{64}$/v)});
 
-/** A VM that votes. */
+/** Schema of a voter: a VM that counts towards majorities; its row has no fields. */
 export const voterSchema = z.object({});
 
 const schemas = {
@@ -69,9 +77,9 @@
 export type Endpoint = z.infer<typeof endpointSchema>;
 /** A named operation on a database group. */
 export type Route = z.infer<typeof routeSchema>;
-/** Key that signs session tokens. */
+/** A key that signs session tokens. */
 export type Secret = z.infer<typeof secretSchema>;
-/** A VM that votes. */
+/** A VM that counts towards majorities. */
 export type Voter = z.infer<typeof voterSchema>;
 
 /** The value type of each kind of row. */
@@ -127,7 +135,7 @@
 	});
 }
 
-/** Formats a row as it is stored. */
+/** Formats a row as it is stored; a value of undefined removes the row. */
 export function formatRow<K extends RowKind>(kind: K, rowName: string, value: RowValues[K] | undefined): StoredRow {
 	return {key: `${kind}/${rowName}`, value: value === undefined ? undefined : JSON.stringify(value)};
 }
--- a/packages/model/src/configuration/configuration.ts
+++ b/packages/model/src/configuration/configuration.ts
@@ -3,10 +3,11 @@
 	type AccountLimits, type Endpoint, type ParsedRow, parseRow, type Route, type RowKind, type RowValues, type StoredRow,
 } from './configuration-row.js';
 
-/** An accepted change of the configuration. */
+/** A change of the configuration. */
 export type ConfigurationChange = {
+	/** Version that the change produces. */
 	readonly version: number;
-	/** Unique id of the write: after a lost response it tells whether this write took the version. */
+	/** Unique id of the write; after a lost response it shows whether this write or another one took the version. */
 	readonly writeId: string;
 	readonly author: string;
 	readonly summary: string;
@@ -24,13 +25,13 @@
 	};
 }
 
-/** The configuration at one version; changes are applied in order and never reverted. */
+/** The configuration at one version; changes are applied in order and never reverted. Getters of one row return undefined for an unknown name. */
 export class Configuration {
 	#version = 0;
 	#tables = createTables();
 	readonly #endpointsByGroup = new Map<string, NamedEndpoint[]>();
 
-	/** Version of the last applied change. */
+	/** Version of the last applied change, zero for none. */
 	get version(): number {
 		return this.#version;
 	}
@@ -43,16 +44,17 @@
 		return this.#tables.route.get(name);
 	}
 
-	/** Returns the account that owns the key with a hash. */
+	/** Returns the account that owns the API key with a SHA-256 hash, undefined for an unknown key. */
 	getAccountByKeyHash(hash: string): string | undefined {
 		return this.#tables.key.get(hash)?.account;
 	}
 
+	/** Returns the key that signs session tokens, as 64 hexadecimal digits. */
 	getSecret(name: string): string | undefined {
 		return this.#tables.secret.get(name)?.key;
 	}
 
-	/** Whether a group records request ids with its writes. */
+	/** Returns whether a group records request ids with its writes; false for an unknown group. */
 	isRecordingRequestIds(name: string): boolean {
 		return this.#tables.group.get(name)?.recordsRequestIds ?? false;
 	}
@@ -65,7 +67,7 @@
 		return [...this.#tables.group.keys()];
 	}
 
-	/** Returns the names of the VMs that vote. */
+	/** Returns the names of the VMs that count towards majorities. */
 	getVoterNames(): string[] {
 		return [...this.#tables.voter.keys()];
 	}
--- a/packages/model/src/errors/error-kind.ts
+++ b/packages/model/src/errors/error-kind.ts
@@ -1,4 +1,4 @@
-/** Reasons for which a request is refused; the list is closed. */
+/** Kinds of errors with which a request is refused; callers never get another kind. */
 export type ErrorKind =
 	| 'invalid-request'
 	| 'unauthenticated'
@@ -44,10 +44,11 @@
 	readonly status: StatusName;
 	readonly ran: ExecutionStatus;
 	readonly retryable: boolean;
-	/** Delay before a retry where the refusal gives none, milliseconds. */
+	/** Default delay before a retry, in milliseconds. */
 	readonly retryAfterMs: number;
 };
 
+/** Creates the details of a kind of error, which is retryable if it has a delay before a retry. */
 function createDetails(status: StatusName, ran: ExecutionStatus, retryAfterMs?: number): RefusalDetails {
 	return {
 		status, ran, retryable: retryAfterMs !== undefined, retryAfterMs: retryAfterMs ?? 0,
@@ -79,7 +80,7 @@
 	internal: createDetails('internal', 'unknown'),
 };
 
-/** Whether a string is a kind of error. */
+/** Returns whether a string is a kind of error. */
 export function isErrorKind(value: string): value is ErrorKind {
 	return Object.hasOwn(refusalDetails, value);
 }
--- a/packages/model/src/errors/refusal.ts
+++ b/packages/model/src/errors/refusal.ts
@@ -7,7 +7,7 @@
 	/**
 	 * @param kind - Kind of error.
 	 * @param message - What was wrong, with the offending value.
-	 * @param retryAfterMs - Delay before a retry, milliseconds; the default of the kind where absent.
+	 * @param retryAfterMs - Delay before a retry, in milliseconds; by default that of the kind.
 	 */
 	constructor(readonly kind: ErrorKind, message: string, readonly retryAfterMs: number = refusalDetails[kind].retryAfterMs) {
 		super(message);
--- a/packages/model/src/events/event-catalogue.ts
+++ b/packages/model/src/events/event-catalogue.ts
@@ -169,10 +169,10 @@
 	},
 } as const satisfies Readonly<Record<string, EventDefinition>>;
 
-/** Names of events. */
+/** Name of an event in the catalogue. */
 export type EventName = keyof typeof eventCatalogue;
 
-/** Fields of an event of the catalogue. */
+/** Field values of the event with a name. */
 export type EventFieldsByName<Name extends EventName> = EventFields<(typeof eventCatalogue)[Name]>;
 
 /** Returns the definition of an event, undefined when the catalogue has no event of that name. */
@@ -180,7 +180,7 @@
 	return Object.hasOwn(eventCatalogue, name) ? eventCatalogue[name as EventName] : undefined;
 }
 
-/** Formats the catalogue as a Markdown table. */
+/** Formats the catalogue as a Markdown table, one row an event. */
 export function formatEventTable(): string {
 	const rows = Object.entries<EventDefinition>(eventCatalogue).map(([name, {description, scope, fields}]) => {
 		const names = Object.entries(fields).map(([field, kind]) => kind.endsWith('?') ? `[${field}]` : field);
--- a/packages/model/src/events/event-definition.ts
+++ b/packages/model/src/events/event-definition.ts
@@ -4,7 +4,7 @@
 /** What an event is about: one request or session, the VM that logs it, or every VM. */
 export type EventScope = 'request' | 'vm' | 'cluster';
 
-/** Type of an event field; a question mark marks an optional field, `counts` maps names to numbers. */
+/** Type of an event field; a question mark marks an optional field, and `counts` is a record of numbers by name. */
 export type EventFieldKind = 'string' | 'number' | 'boolean' | 'string?' | 'number?' | 'counts';
 
 /** Definition of an event in the catalogue. */
@@ -28,6 +28,6 @@
 };
 
 /** Field values of an event. */
-export type EventFields<Structure extends EventDefinition> = {
-	readonly [Name in keyof Structure['fields']]: FieldTypes[Structure['fields'][Name]];
+export type EventFields<Definition extends EventDefinition> = {
+	readonly [Name in keyof Definition['fields']]: FieldTypes[Definition['fields'][Name]];
 };
--- a/packages/model/src/positions/log-position.ts
+++ b/packages/model/src/positions/log-position.ts
@@ -19,7 +19,7 @@
 	return a.term === b.term ? a.offset - b.offset : a.term - b.term;
 }
 
-/** Whether a position is at or after a required one. */
+/** Returns whether a position is at or after a required one. */
 export function isAtLeast(position: LogPosition, required: LogPosition): boolean {
 	return comparePositions(position, required) >= 0;
 }
