--- a/packages/store/src/client/platform-client.ts
+++ b/packages/store/src/client/platform-client.ts
@@ -10,16 +10,17 @@
 } from '../ports/index.js';
 import {createHttp2SessionOptions} from './http2-session-options.js';
 
-/** Address and timeout of the platform. */
+/** Options of a platform client. */
 export type PlatformClientOptions = {
-	/** Address as host:port. */
+	/** Address of the platform as host:port. */
 	readonly address: string;
+	/** Timeout of a call, in milliseconds. */
 	readonly timeoutMs: number;
-	/** Source IP address of connections. */
+	/** Source IP address of connections; undefined leaves the choice to the operating system. */
 	readonly sourceAddress?: string | undefined;
 };
 
-/** Counts of operations sent to the platform, and of failures. */
+/** Numbers of calls to the platform by operation, and of those that failed. */
 export type PlatformCounters = {
 	reads: number;
 	writes: number;
@@ -70,14 +71,14 @@
 		});
 	}
 
-	async putObject(key: string, body: Uint8Array): Promise<Either<Refusal, void>> {
+	async writeObject(key: string, body: Uint8Array): Promise<Either<Refusal, void>> {
 		this.counters.objectWrites += 1;
 		return this.#call(async timeout => {
 			await this.#objects.put({key, body}, timeout);
 		});
 	}
 
-	async getObject(key: string): Promise<Either<Refusal, Maybe<Uint8Array>>> {
+	async readObject(key: string): Promise<Either<Refusal, Maybe<Uint8Array>>> {
 		this.counters.objectReads += 1;
 		return this.#call(async timeout => {
 			const response = await this.#objects.get({key}, timeout);
--- a/packages/store/src/configuration/configuration-log.ts
+++ b/packages/store/src/configuration/configuration-log.ts
@@ -18,7 +18,7 @@
 const referenceSchema = z.object({writeId: z.string()});
 const snapshotSchema = z.object({version: z.number(), rows: z.array(rowSchema)});
 
-/** Head of the log: the newest version in the store. */
+/** Head of the log: the newest version and the version of the newest snapshot, zero for none, and the version of the row that holds both. */
 export type ConfigurationHead = z.infer<typeof headSchema> & {readonly rowVersion: number};
 
 /** All rows of the configuration at one version. */
@@ -27,12 +27,12 @@
 /** Outcome of writing a change. */
 export type ChangeWriteResult =
 	| {readonly kind: 'written'}
-	/** Another change took the version. */
+	/** Another change, which is returned, took the version. */
 	| {readonly kind: 'conflict'; readonly change: ConfigurationChange};
 
 /**
  * Log of configuration changes in the platform's table and object store.
- * A write stores the bodies as objects and then takes the version by a compare-and-set of the head.
+ * A write stores the change, and a snapshot if one is due, as objects and then takes the version by a compare-and-set of the head.
  */
 export class ConfigurationLog {
 	constructor(private readonly table: Table, private readonly objects: ObjectStore) {}
@@ -56,7 +56,7 @@
 		return body.chain(text => parseJson(changeSchema, text, `change ${version}`)).map(change => ({...change, version}));
 	}
 
-	/** Reads the snapshot of a version that the head names. */
+	/** Reads the snapshot of a version, which is the head's `snapshotVersion`. */
 	async readSnapshot(version: number): Promise<Either<Refusal, ConfigurationSnapshot>> {
 		const body = await this.#readObject(getSnapshotKey(version));
 		return body.chain(text => parseJson(snapshotSchema, text, `snapshot ${version}`));
@@ -64,13 +64,13 @@
 
 	/**
 	 * Writes the next change.
-	 * After a lost response the log is read to find out which write took the version.
-	 * @param change - Change with the version after the head's.
-	 * @param snapshot - Snapshot to name in the head, if one is due.
+	 * After a conflict or a lost response, reads which write took the version.
+	 * @param change - Change whose version follows the head's.
+	 * @param snapshot - New snapshot, if one is due.
 	 */
 	async writeChange(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, ChangeWriteResult>> {
-		const put = await this.#writeBodies(change, snapshot);
-		const head = put.isLeft() ? (put as unknown as Either<Refusal, ConfigurationHead>) : await this.readHead();
+		const writtenBodies = await this.#writeBodies(change, snapshot);
+		const head = writtenBodies.isLeft() ? (writtenBodies as unknown as Either<Refusal, ConfigurationHead>) : await this.readHead();
 		if (head.isLeft()) {
 			return head;
 		}
@@ -92,7 +92,7 @@
 		return isApplied ? Right({kind: 'written'}) : this.#resolveWriteOutcome(change);
 	}
 
-	/** Reads which write took a version. */
+	/** Reads whether a change or another one took its version. */
 	async #resolveWriteOutcome(change: ConfigurationChange): Promise<Either<Refusal, ChangeWriteResult>> {
 		const head = await this.readHead();
 		if (head.isLeft()) {
@@ -103,17 +103,17 @@
 			return Left(refusals.storeUnavailable(`version ${change.version} was not taken`));
 		}
 
-		const taken = await this.readChange(change.version);
-		return taken.map(committed => (committed.writeId === change.writeId ? {kind: 'written'} : {kind: 'conflict', change: committed}));
+		const committedChange = await this.readChange(change.version);
+		return committedChange.map(committed => (committed.writeId === change.writeId ? {kind: 'written'} : {kind: 'conflict', change: committed}));
 	}
 
 	async #writeBodies(change: ConfigurationChange, snapshot?: ConfigurationSnapshot): Promise<Either<Refusal, void>> {
-		const put = await this.objects.putObject(getBodyKey(change.writeId), encodeJson(change));
-		return put.isLeft() || snapshot === undefined ? put : this.objects.putObject(getSnapshotKey(snapshot.version), encodeJson(snapshot));
+		const put = await this.objects.writeObject(getBodyKey(change.writeId), encodeJson(change));
+		return put.isLeft() || snapshot === undefined ? put : this.objects.writeObject(getSnapshotKey(snapshot.version), encodeJson(snapshot));
 	}
 
 	async #readObject(key: string): Promise<Either<Refusal, string>> {
-		const object = await this.objects.getObject(key);
+		const object = await this.objects.readObject(key);
 		return object.chain(body => body
 			.map(bytes => new TextDecoder().decode(bytes))
 			.toEither(refusals.storeUnavailable(`no object "${key}"`)));
--- a/packages/store/src/ports/object-store.ts
+++ b/packages/store/src/ports/object-store.ts
@@ -3,6 +3,8 @@
 
 /** The platform's object store. */
 export type ObjectStore = {
-	putObject(key: string, body: Uint8Array): Promise<Either<Refusal, void>>;
-	getObject(key: string): Promise<Either<Refusal, Maybe<Uint8Array>>>;
+	/** Creates or replaces an object. */
+	writeObject(key: string, body: Uint8Array): Promise<Either<Refusal, void>>;
+	/** Reads an object, `Nothing` if there is none under the key. */
+	readObject(key: string): Promise<Either<Refusal, Maybe<Uint8Array>>>;
 };
--- a/packages/store/src/ports/vm-list.ts
+++ b/packages/store/src/ports/vm-list.ts
@@ -4,7 +4,7 @@
 /** A VM as the platform lists it; the list can be out of date. */
 export type ListedVm = {
 	readonly name: string;
-	/** Address of its peer port. */
+	/** Address of its port for other VMs. */
 	readonly address: string;
 	readonly zone: string;
 	readonly state: 'live' | 'leaving';
