--- a/packages/protocol/src/coordination/messages.ts
+++ b/packages/protocol/src/coordination/messages.ts
@@ -4,17 +4,17 @@
 
 const positionCodec = Codec.interface({term: number, offset: number});
 
-/** Log position of a primary, and its age when it was sent. */
+/** Log position of a primary, and its age when the message was sent. */
 const positionReportCodec = Codec.interface({position: positionCodec, ageMs: number});
 
 /** Observations of a group's primary by one VM. */
 const evidenceReportCodec = Codec.interface({
 	instanceId: string,
-	/** Time since the last response, milliseconds; absent if there was none. */
+	/** Time since the last response, in milliseconds; absent if there was none. */
 	answeredAgoMs: optional(number),
-	/** Time for which every attempt has failed, milliseconds; absent while the primary responds. */
+	/** Time for which every attempt has failed, in milliseconds; absent while the primary responds. */
 	failingForMs: optional(number),
-	/** Whether the failures were refused connections; absent if they were not. */
+	/** Whether the failures were refused connections; absent means false. */
 	isRefused: optional(boolean),
 });
 
@@ -24,7 +24,7 @@
 	term: number,
 	primaryId: string,
 	phase: oneOf([exactly('open'), exactly('closing')]),
-	/** Time for running writes to finish when the term closes, milliseconds. */
+	/** Time that running writes get to finish when the term closes, in milliseconds. */
 	drainMs: number,
 	revision: number,
 });
@@ -41,7 +41,7 @@
 	bornMs: number,
 });
 
-/** Regular status report of a VM to the coordinator. */
+/** Codec of the periodic status report of a VM to the coordinator. */
 export const heartbeatCodec = Codec.interface({
 	kind: exactly('heartbeat'),
 	vm: string,
@@ -54,67 +54,68 @@
 	configurationVersion: number,
 	/** Revision of the instance list that this VM received last; absent if it reads the list from the store. */
 	instanceRevision: optional(string),
-	/** Time stamp of the newest report received and the time since then: they bound when this heartbeat was sent. */
+	/** Time stamp of the newest coordinator report and the time since its arrival; from both the coordinator computes the earliest time at which this heartbeat was sent. */
 	echo: optional(Codec.interface({stampMs: number, ageMs: number})),
 });
 
-/** Response of the coordinator to a heartbeat; sent unrequested and without a sequence when a term changes. */
+/** Codec of the coordinator's response to a heartbeat; it is also sent when a term changes, then without a sequence number. */
 export const coordinatorReportCodec = Codec.interface({
 	kind: exactly('report'),
 	sequence: optional(number),
-	/** Monotonic time of the coordinator, milliseconds. */
+	/** Monotonic time of the coordinator, in milliseconds. */
 	stampMs: number,
 	/** Fencing token of the coordinator. */
 	token: number,
 	/** Version of the coordinator's row in the store. */
 	dutyRevision: number,
-	/** Absent if the VM's heartbeat shows that it has them. */
+	/** Terms of all groups; absent if the VM's heartbeat shows that it has them. */
 	terms: optional(array(groupTermCodec)),
 	/** Whether the VM has to read the configuration from the store itself. */
 	isFollower: boolean,
-	/** Absent if the VM's heartbeat shows that it has them. */
+	/** Instance list; absent if the VM's heartbeat shows that it has this revision. */
 	instances: optional(Codec.interface({revision: string, entries: array(instanceEntryCodec)})),
 	positions: record(string, positionReportCodec),
 	configurationVersion: number,
+	/** Number of VMs that share the limits of accounts. */
 	members: number,
 });
 
-/** Requests the configuration that a VM has. */
+/** Codec of a request for the configuration that the receiver has. */
 export const configurationRequestCodec = Codec.interface({kind: exactly('configuration-request')});
 
-/** Response with the configuration, in the store's encoding. */
+/** Codec of a response with the configuration, in the store's encoding. */
 export const configurationReplyCodec = Codec.interface({kind: exactly('configuration-reply'), version: number, encoded: string});
 
-/** Tells a VM that its message did not reach the coordinator. */
+/** Codec of the response of a VM that is not the coordinator to a message for the coordinator. */
 export const notCoordinatorCodec = Codec.interface({
 	kind: exactly('not-coordinator'),
-	/** Peer address of the coordinator, if it is known. */
+	/** Peer address of the coordinator; absent if it is not known. */
 	coordinator: optional(string),
 });
 
-/** Requests rate limit tokens by account: `needed` for waiting operations, `extra` for those expected soon. */
+/** Codec of a request for rate limit tokens by account: `needed` for waiting operations, `extra` for those expected soon. */
 export const tokenRequestCodec = Codec.interface({
 	kind: exactly('token-request'), vm: string, sequence: number, wants: record(string, Codec.interface({needed: number, extra: number})),
 });
 
-/** Response with rate limit tokens by account, and the time until there are more. */
+/** Codec of a response with rate limit tokens by account, and the time until there are more, in milliseconds. */
 export const tokenGrantCodec = Codec.interface({
 	kind: exactly('token-grant'), sequence: number, grants: record(string, Codec.interface({count: number, waitMs: number})),
 });
 
-/** Asks a VM whether it reaches the store, or tells it to take over as coordinator because the sender has stopped coordinating. */
+/** Codec of an offer to hand over: asks a VM whether it reaches the store, or tells it to take over as coordinator because the sender has stopped coordinating. */
 export const handOverOfferCodec = Codec.interface({kind: exactly('offer'), step: oneOf([exactly('ask'), exactly('take-over')])});
 
-/** Response to an offer: the sender reaches the store and can become the coordinator. */
+/** Codec of the response to an offer: the sender reaches the store and can become the coordinator. */
 export const handOverAcceptanceCodec = Codec.interface({kind: exactly('acceptance'), vm: string, address: string});
 
 const messageCodec = oneOf([handOverOfferCodec, handOverAcceptanceCodec, heartbeatCodec, coordinatorReportCodec, tokenRequestCodec, tokenGrantCodec, configurationRequestCodec, configurationReplyCodec, notCoordinatorCodec]);
 
 /** Term and primary of a group. */
 export type GroupTermMessage = GetType<typeof groupTermCodec>;
-/** Observations of a group's primary. */
+/** Observations of a group's primary by one VM. */
 export type EvidenceReport = GetType<typeof evidenceReportCodec>;
-/** Log position of a primary, and its age. */
+/** Log position of a primary, and its age when the message was sent. */
 export type PositionReport = GetType<typeof positionReportCodec>;
 /** Request for rate limit tokens. */
 export type TokenRequest = GetType<typeof tokenRequestCodec>;
@@ -133,7 +134,7 @@
 /** Any message between VMs. */
 export type PeerMessage = GetType<typeof messageCodec>;
 
-const codecs: Readonly<Record<string, {decode: (input: unknown) => ReturnType<typeof messageCodec.decode>}>> = {
+const codecsByKind: Readonly<Record<string, {decode: (input: unknown) => ReturnType<typeof messageCodec.decode>}>> = {
 	heartbeat: heartbeatCodec,
 	report: coordinatorReportCodec,
 	offer: handOverOfferCodec,
@@ -153,7 +154,7 @@
 export function parsePeerMessage(text: string): PeerMessage | {readonly kind: 'invalid'; readonly reason: string} {
 	try {
 		const value = JSON.parse(text) as {kind?: unknown} | undefined;
-		const codec = codecs[String(value?.kind)];
+		const codec = codecsByKind[String(value?.kind)];
 		return codec === undefined
 			? {kind: 'invalid', reason: `unknown kind "${String(value?.kind)}"`}
 			: codec.decode(value).caseOf<PeerMessage | {kind: 'invalid'; reason: string}>({Left: reason => ({kind: 'invalid', reason}), Right: message => message});
@@ -162,7 +163,7 @@
 	}
 }
 
-/** Resolution of times in messages, in steps per millisecond: far finer than every timing margin. */
+/** Resolution of times in messages, in steps per millisecond; every timing margin is much longer than a step. */
 const roundingStepsPerMs = 10;
 
 function roundNumber(_key: string, value: unknown): unknown {
