--- a/packages/decisions/src/limits/admission-control.ts
+++ b/packages/decisions/src/limits/admission-control.ts
@@ -10,14 +10,15 @@
 
 type Waiter = {readonly id: number; readonly expiresAt: number};
 
-type Arrivals = {weight: number; updatedAt: number};
+/** Number of an account's arrivals, each weighted down exponentially with its age. */
+type Arrivals = {decayedCount: number; updatedAt: number};
 
 /** Admission timeout for accounts with a high rate, in milliseconds. */
 export const minAdmissionTimeoutMs = 400;
 /** Admission timeout for accounts with a low rate, in milliseconds. */
 export const maxAdmissionTimeoutMs = 1000;
 
-/** Time for which a pool counts as empty after a grant without tokens, in milliseconds. */
+/** Time for which an account's pool at the allocator counts as empty after a grant without tokens, in milliseconds. */
 const emptyPoolTtlMs = 250;
 
 /** Interval of full reports, in milliseconds. */
@@ -27,7 +28,7 @@
 
 /** Delay before spent tokens of an account with a small burst are reported, in milliseconds. */
 const spentTokensReportDelayMs = 40;
-/** A burst that the account's rate refills in less than this time is small, in milliseconds. */
+/** Time within which the rate of an account refills a burst that counts as small, in milliseconds. */
 const smallBurstRefillMs = 1500;
 
 /** Time without a grant after which the allocator counts as unresponsive, in milliseconds. */
@@ -35,8 +36,8 @@
 
 /** Time constant of the exponential average of arrivals, in milliseconds. */
 const demandTimeConstantMs = 1000;
-/** Weight below which an account's arrivals are dropped. */
-const minArrivalWeight = 0.01;
+/** Minimum decayed number of arrivals of an account that is kept. */
+const minArrivalCount = 0.01;
 
 /** Scope of a report: every known account, or only accounts with waiting requests or newly spent tokens. */
 export type DemandReportKind = 'full' | 'partial';
@@ -46,10 +47,10 @@
 	readonly #holder: ShareHolder;
 	readonly #waiters = new Map<string, Waiter[]>();
 	readonly #arrivals = new Map<string, Arrivals>();
-	/** When the allocator last had no token for an account's waiting requests, and its estimate of the next one. */
+	/** When the allocator last had no token for an account's waiting requests, and its estimate of the time until the next one. */
 	readonly #emptyPools = new Map<string, {readonly observedAt: number; readonly nextTokenMs: number}>();
 
-	/** Accounts with a small burst whose last tokens have to be reported as spent. */
+	/** Accounts with a small burst that got tokens since the last report; the next one tells the allocator how many are left. */
 	readonly #unreportedSpending = new Set<string>();
 	#lastReportAt = Number.NEGATIVE_INFINITY;
 	#lastGrantAt = Number.NEGATIVE_INFINITY;
@@ -60,6 +61,7 @@
 		this.#holder = new ShareHolder(getLimits);
 	}
 
+	/** Shares held by this VM. */
 	get holder(): ShareHolder {
 		return this.#holder;
 	}
@@ -72,7 +74,7 @@
 	 * Requests admission.
 	 * @param id - Identifier of the request in a later decision.
 	 * @param account - Client account of the request.
-	 * @param deadline - Time at which the request expires, in milliseconds of the monotonic clock.
+	 * @param deadline - Monotonic time at which the request expires, in milliseconds.
 	 * @param now - Monotonic time in milliseconds.
 	 * @returns The decision, or undefined if the request waits for a token.
 	 */
@@ -94,7 +96,7 @@
 		return undefined;
 	}
 
-	/** Admits or refuses waiting requests; returns the decisions made. */
+	/** Admits the waiting requests for which there are tokens, refuses those that expired, and returns these decisions. */
 	processWaiters(now: number): AdmissionDecision[] {
 		const decisions: AdmissionDecision[] = [];
 		for (const [account, waiters] of this.#waiters) {
@@ -150,7 +152,7 @@
 	/**
 	 * Applies a grant.
 	 * @param grant - Response to the last report sent.
-	 * @param sentAt - Time at which that report was sent.
+	 * @param sentAt - Monotonic time at which that report was sent, in milliseconds.
 	 * @param isPartial - Whether accounts that the grant does not list keep their shares.
 	 * @param now - Monotonic time in milliseconds.
 	 */
@@ -169,7 +171,7 @@
 		}
 	}
 
-	/** Returns the time in which the rate yields two tokens, within bounds; the maximum while the allocator is unresponsive, since a successor takes over soon. */
+	/** Returns the time in which the account's rate yields two tokens, within bounds, in milliseconds; the maximum while the allocator is unresponsive, since a successor takes over soon. */
 	#getAdmissionTimeoutMs(account: string, now: number): number {
 		if (now - this.#lastGrantAt > allocatorTimeoutMs) {
 			return maxAdmissionTimeoutMs;
@@ -187,7 +189,7 @@
 		}
 	}
 
-	/** Says whether tokens not yet reported as spent would take up much of an account's burst. */
+	/** Returns whether an account's burst is so small that tokens that are spent but not yet reported would take up much of it. */
 	#hasSmallBurst(account: string): boolean {
 		const limits = this.getLimits(account);
 		return limits !== undefined && limits.burst < (limits.rate * smallBurstRefillMs) / 1000;
@@ -199,7 +201,7 @@
 
 	#getKnownAccounts(now: number): string[] {
 		for (const [account, arrivals] of this.#arrivals) {
-			if (getDecayedWeight(arrivals, now) < minArrivalWeight) {
+			if (getDecayedCount(arrivals, now) < minArrivalCount) {
 				this.#arrivals.delete(account);
 			}
 		}
@@ -211,7 +213,7 @@
 		const arrivals = this.#arrivals.get(account);
 		return {
 			account,
-			perSecond: arrivals === undefined ? 0 : getDecayedWeight(arrivals, now) / (demandTimeConstantMs / 1000),
+			perSecond: arrivals === undefined ? 0 : getDecayedCount(arrivals, now) / (demandTimeConstantMs / 1000),
 			waiting: this.#waiters.get(account)?.length ?? 0,
 			heldTokens: this.#holder.getTokens(account, now),
 			returnedTokens: this.#holder.removeReturnedTokens(account),
@@ -235,7 +237,7 @@
 
 	#recordArrival(account: string, now: number): void {
 		const arrivals = this.#arrivals.get(account);
-		this.#arrivals.set(account, {weight: (arrivals === undefined ? 0 : getDecayedWeight(arrivals, now)) + 1, updatedAt: now});
+		this.#arrivals.set(account, {decayedCount: (arrivals === undefined ? 0 : getDecayedCount(arrivals, now)) + 1, updatedAt: now});
 	}
 
 	/** Estimates the time until there are tokens for the requests ahead and for this one, in milliseconds. */
@@ -256,6 +258,6 @@
 	}
 }
 
-function getDecayedWeight(arrivals: Arrivals, now: number): number {
-	return arrivals.weight * Math.exp((arrivals.updatedAt - now) / demandTimeConstantMs);
+function getDecayedCount(arrivals: Arrivals, now: number): number {
+	return arrivals.decayedCount * Math.exp((arrivals.updatedAt - now) / demandTimeConstantMs);
 }
--- a/packages/decisions/src/limits/share-allocator.ts
+++ b/packages/decisions/src/limits/share-allocator.ts
@@ -21,23 +21,23 @@
 
 type Pool = {level: number; updatedAt: number};
 
-/** Settings of the allocator. */
+/** Options of the allocator. */
 export type AllocatorOptions = {
 	/** Validity of a grant, in milliseconds. */
 	readonly validMs: number;
-	/** Maximum fraction of a rate that is granted to VMs; the rest refills the pool. */
+	/** Maximum fraction of a rate that is granted to VMs as local rates; the rest refills the pool. */
 	readonly maxLocalRateFraction: number;
 	/** Fraction of a VM's demand that its local rate covers; it requests the rest from the pool. */
 	readonly coveredDemandFraction: number;
-	/** Time of demand for which a VM may hold tokens in advance, in milliseconds. */
+	/** Length of the period ahead for whose expected demand a VM may hold tokens, in milliseconds. */
 	readonly prefetchMs: number;
 	/** Maximum fraction of a burst reserved for tokens from local rates. */
 	readonly maxLocalBurstFraction: number;
-	/** Time of refill at its local rate for which a VM's bucket has capacity, in milliseconds. */
+	/** Time for which a VM's bucket can refill at its local rate before it overflows, in milliseconds. */
 	readonly localBufferMs: number;
 };
 
-/** Options used unless others are given. */
+/** Default options of the allocator. */
 export const defaultAllocatorOptions: AllocatorOptions = {
 	validMs: 2000, maxLocalRateFraction: 0.85, coveredDemandFraction: 0.95, prefetchMs: 300, maxLocalBurstFraction: 0.35, localBufferMs: 400,
 };
@@ -47,7 +47,7 @@
 const epsilon = 1e-9;
 /** Minimum capacity in tokens of a VM's share of a burst before it gets a local rate. */
 const minLocalBurstTokens = 4;
-/** Upper bound of the estimated time until the next token, in milliseconds. */
+/** Maximum estimate of the time until the next token, in milliseconds. */
 const maxNextTokenMs = 60_000;
 
 /**
@@ -60,15 +60,16 @@
 	#sequence = 0;
 
 	/**
-	 * @param startedAt - Time by which all grants of earlier allocators have expired; all pools start empty.
+	 * @param startedAt - Monotonic time by which all grants of earlier allocators have expired, in milliseconds; all pools start empty.
 	 * @param getLimits - Returns the active limits of an account.
+	 * @param options - Options of the allocator.
 	 */
 	constructor(private readonly startedAt: number, private readonly getLimits: LimitsLookup, private readonly options: AllocatorOptions = defaultAllocatorOptions) {}
 
 	/**
 	 * Creates the grant that answers a report.
 	 * @param report - Report of one VM.
-	 * @param usableUntil - Time at which the allocator's lease ends, which bounds the validity of the grant.
+	 * @param usableUntil - Monotonic time at which the allocator's lease ends, in milliseconds; it bounds the validity of the grant.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	createGrant(report: DemandReport, usableUntil: number, now: number): ShareGrant {
@@ -107,7 +108,7 @@
 		return {sequence: this.#sequence, pools, grants};
 	}
 
-	/** Adopts the state of a predecessor. The transfer time only extends how long its grants count as in use. */
+	/** Adopts the state of a predecessor. A slow transfer is safe: it only extends the time for which the predecessor's grants count as in use. */
 	importState(state: AllocatorState, now: number): void {
 		this.#sequence = state.sequence;
 		for (const {account, level} of state.pools) {
@@ -121,9 +122,9 @@
 	}
 
 	/** Returns the fractions of an account that may be in use; they never exceed one. */
-	getCommitted(account: string, now: number): Fractions {
+	getFractionsInUse(account: string, now: number): Fractions {
 		this.#removeExpired(now);
-		return this.#sumCommitted('', account);
+		return this.#sumFractionsInUse('', account);
 	}
 
 	#getHolder(id: string): HolderState {
@@ -152,42 +153,42 @@
 			};
 		}
 
-		const others = this.#sumCommitted(id, demand.account);
-		const before = getCommittedFractions(holder, demand.account);
+		const othersInUse = this.#sumFractionsInUse(id, demand.account);
+		const ownInUse = getHolderFractionsInUse(holder, demand.account);
 		const pool = this.#refillPool(demand.account, now);
-		pool.level = Math.min(pool.level + demand.returnedTokens, Math.max(0, 1 - others.burst - before.burst) * limits.burst);
+		pool.level = Math.min(pool.level + demand.returnedTokens, Math.max(0, 1 - othersInUse.burst - ownInUse.burst) * limits.burst);
 		if (isLeaving) {
 			return {
 				account: demand.account, rateFraction: 0, burstFraction: 0, tokens: 0, nextTokenMs: 0,
 			};
 		}
 
-		const {fraction, total} = this.#getDemandFraction(demand);
-		const rate = this.#chooseRate(demand, fraction, total, limits, others);
-		const keptTokens = this.#chooseKeptTokens(demand, fraction, limits.rate, rate);
-		const desiredTokens = this.#chooseGrantedTokens(demand, keptTokens, pool, fraction);
-		const burst = clampFraction((keptTokens + desiredTokens + this.#getRequiredCapacity(rate * limits.rate)) / limits.burst, 1 - others.burst);
-		const tokens = Math.max(0, Math.min(desiredTokens, (burst * limits.burst) - keptTokens));
+		const {fraction: demandFraction, total: totalDemand} = this.#getDemandFraction(demand);
+		const rateFraction = this.#chooseRateFraction(demand, demandFraction, totalDemand, limits, othersInUse);
+		const keptTokens = this.#chooseKeptTokens(demand, demandFraction, limits.rate, rateFraction);
+		const desiredTokens = this.#chooseGrantedTokens(demand, keptTokens, pool, demandFraction);
+		const burstFraction = clampFraction((keptTokens + desiredTokens + this.#getRequiredCapacity(rateFraction * limits.rate)) / limits.burst, 1 - othersInUse.burst);
+		const tokens = Math.max(0, Math.min(desiredTokens, (burstFraction * limits.burst) - keptTokens));
 		holder.waiting.set(demand.account, Math.max(0, demand.waiting - keptTokens - tokens));
-		const freeFraction = Math.max(0, 1 - others.burst - Math.max(burst, before.burst));
+		const freeFraction = Math.max(0, 1 - othersInUse.burst - Math.max(burstFraction, ownInUse.burst));
 		pool.level = Math.min(pool.level - tokens, freeFraction * limits.burst);
 		return {
-			account: demand.account, rateFraction: rate, burstFraction: burst, tokens, nextTokenMs: this.#estimateNextTokenMs(demand, pool, others.rate + Math.max(rate, before.rate), limits.rate),
+			account: demand.account, rateFraction, burstFraction, tokens, nextTokenMs: this.#estimateNextTokenMs(demand, pool, othersInUse.rate + Math.max(rateFraction, ownInUse.rate), limits.rate),
 		};
 	}
 
-	/** Chooses the rate fraction that the VM's demand uses up, zero if its share of the burst can't buffer the refill between two reports. */
-	#chooseRate(demand: AccountDemand, fraction: number, total: number, limits: AccountLimits, others: Fractions): number {
-		const isSaturated = total > limits.rate;
+	/** Chooses the fraction of the account's rate that the VM gets as its local rate, which its demand uses up; zero if its share of the burst cannot buffer the refill between two reports. */
+	#chooseRateFraction(demand: AccountDemand, demandFraction: number, totalDemand: number, limits: AccountLimits, othersInUse: Fractions): number {
+		const isSaturated = totalDemand > limits.rate;
 		const maxRateFraction = isSaturated ? getSaturatedRateFraction(this.options) : this.options.maxLocalRateFraction;
-		const desiredRate = Math.min(maxRateFraction * fraction * limits.rate, isSaturated ? limits.rate : this.options.coveredDemandFraction * demand.perSecond);
-		const capacity = this.options.maxLocalBurstFraction * fraction * limits.burst;
+		const desiredRate = Math.min(maxRateFraction * demandFraction * limits.rate, isSaturated ? limits.rate : this.options.coveredDemandFraction * demand.perSecond);
+		const capacity = this.options.maxLocalBurstFraction * demandFraction * limits.burst;
 		if (capacity < minLocalBurstTokens) {
 			return 0;
 		}
 
 		const bufferedRate = Math.min(desiredRate, (capacity - 1) * (1000 / this.options.localBufferMs));
-		return clampFraction(bufferedRate / limits.rate, maxRateFraction - others.rate);
+		return clampFraction(bufferedRate / limits.rate, maxRateFraction - othersInUse.rate);
 	}
 
 	/** Returns the capacity in tokens that a bucket needs so that refills at its rate do not overflow it. */
@@ -195,34 +196,35 @@
 		return rate < epsilon ? 0 : 1 + ((rate * this.options.localBufferMs) / 1000);
 	}
 
-	/** Chooses the tokens that the VM keeps; whole ones if it has no local rate, as nothing would complete a fraction of a token. */
-	#chooseKeptTokens(demand: AccountDemand, fraction: number, limit: number, rate: number): number {
-		const maxTokens = demand.waiting + ((Math.min(demand.perSecond, limit * fraction) * this.options.prefetchMs) / 1000);
-		return rate > 0 ? Math.min(demand.heldTokens, Math.ceil(maxTokens)) : Math.floor(Math.min(demand.heldTokens, maxTokens) + epsilon);
+	/** Chooses the number of tokens that the VM keeps; a whole number if it has no local rate, as nothing would complete a fraction of a token. */
+	#chooseKeptTokens(demand: AccountDemand, demandFraction: number, accountRate: number, rateFraction: number): number {
+		const maxTokens = demand.waiting + ((Math.min(demand.perSecond, accountRate * demandFraction) * this.options.prefetchMs) / 1000);
+		return rateFraction > 0 ? Math.min(demand.heldTokens, Math.ceil(maxTokens)) : Math.floor(Math.min(demand.heldTokens, maxTokens) + epsilon);
 	}
 
-	/** Chooses the tokens granted for waiting requests and, if the pool has enough, for those expected soon; fills up to whole tokens. */
-	#chooseGrantedTokens(demand: AccountDemand, keptTokens: number, pool: Pool, fraction: number): number {
+	/** Chooses the number of tokens granted for waiting requests and, if the pool has enough, for those expected soon; together with the kept tokens it is a whole number. */
+	#chooseGrantedTokens(demand: AccountDemand, keptTokens: number, pool: Pool, demandFraction: number): number {
 		if (demand.waiting === 0) {
 			return 0;
 		}
 
 		const expectedTokens = (demand.perSecond * this.options.prefetchMs) / 1000;
 		const neededTokens = Math.max(0, demand.waiting - keptTokens);
-		const prefetchedTokens = Math.max(0, Math.min(Math.floor(demand.waiting + expectedTokens - keptTokens), Math.floor(pool.level * fraction)));
+		const prefetchedTokens = Math.max(0, Math.min(Math.floor(demand.waiting + expectedTokens - keptTokens), Math.floor(pool.level * demandFraction)));
 		return Math.max(0, Math.floor(keptTokens + Math.min(Math.max(neededTokens, prefetchedTokens), pool.level) + epsilon) - keptTokens);
 	}
 
-	#estimateNextTokenMs(demand: AccountDemand, pool: Pool, committedRate: number, rate: number): number {
+	#estimateNextTokenMs(demand: AccountDemand, pool: Pool, rateFractionInUse: number, accountRate: number): number {
 		let waiting = 0;
 		for (const holder of this.#holders.values()) {
 			waiting += holder.waiting.get(demand.account) ?? 0;
 		}
 
-		const poolRate = Math.max(epsilon, rate * (1 - committedRate));
+		const poolRate = Math.max(epsilon, accountRate * (1 - rateFractionInUse));
 		return Math.min(maxNextTokenMs, (Math.max(0, Math.max(1, waiting) - pool.level) / poolRate) * 1000);
 	}
 
+	/** Returns the VM's fraction of the account's demand at all VMs, and that total in requests per second. */
 	#getDemandFraction(demand: AccountDemand): {fraction: number; total: number} {
 		let total = 0;
 		for (const holder of this.#holders.values()) {
@@ -238,7 +240,7 @@
 		}
 	}
 
-	/** Refills the pool of an account at the rate, and up to the burst, that no grant in use covers. */
+	/** Refills the pool of an account from the fractions of its rate and burst that no grant in use covers. */
 	#refillPool(account: string, now: number): Pool {
 		const pool = this.#pools.get(account) ?? {level: 0, updatedAt: this.startedAt};
 		const limits = this.getLimits(account);
@@ -247,23 +249,23 @@
 			return pool;
 		}
 
-		const committed = this.#sumCommitted('', account);
-		const refill = ((now - pool.updatedAt) / 1000) * limits.rate * Math.max(0, 1 - committed.rate);
-		pool.level = Math.min(Math.max(0, 1 - committed.burst) * limits.burst, pool.level + refill);
+		const inUse = this.#sumFractionsInUse('', account);
+		const refill = ((now - pool.updatedAt) / 1000) * limits.rate * Math.max(0, 1 - inUse.rate);
+		pool.level = Math.min(Math.max(0, 1 - inUse.burst) * limits.burst, pool.level + refill);
 		pool.updatedAt = now;
 		this.#pools.set(account, pool);
 		return pool;
 	}
 
-	/** Sums the fractions of an account in use by all holders but one. */
-	#sumCommitted(excludedId: string, account: string): Fractions {
+	/** Returns the sum of the fractions of an account in use by all holders but one. */
+	#sumFractionsInUse(excludedId: string, account: string): Fractions {
 		let rate = 0;
 		let burst = 0;
 		for (const [id, holder] of this.#holders) {
 			if (id !== excludedId) {
-				const committed = getCommittedFractions(holder, account);
-				rate += committed.rate;
-				burst += committed.burst;
+				const inUse = getHolderFractionsInUse(holder, account);
+				rate += inUse.rate;
+				burst += inUse.burst;
 			}
 		}
 
@@ -280,8 +282,8 @@
 	}
 }
 
-/** Returns the maximum fractions over a holder's grants, any of which may be in use. */
-function getCommittedFractions(holder: HolderState, account: string): Fractions {
+/** Returns the fractions of an account that a holder may be using: the maximum over its grants, any of which may be in use. */
+function getHolderFractionsInUse(holder: HolderState, account: string): Fractions {
 	let {rate, burst} = zeroFractions;
 	for (const grant of holder.grants) {
 		const fractions = grant.fractions.get(account) ?? zeroFractions;
@@ -292,7 +294,7 @@
 	return {rate, burst};
 }
 
-/** Returns the maximum fraction granted as local rates when demand exceeds the rate: holding more back for the pool gains nothing. */
+/** Returns the maximum fraction of a rate granted as local rates when demand exceeds the rate; leaving more of it to the pool gains nothing. */
 function getSaturatedRateFraction(options: AllocatorOptions): number {
 	return options.maxLocalRateFraction === 0 ? 0 : 0.95;
 }
--- a/packages/decisions/src/limits/share-holder.ts
+++ b/packages/decisions/src/limits/share-holder.ts
@@ -5,11 +5,11 @@
 	burstFraction: number;
 	tokens: number;
 	updatedAt: number;
-	/** Tokens above the bucket's capacity, returned with the next report. */
+	/** Tokens above the VM's share of the burst, returned with the next report. */
 	excessTokens: number;
 };
 
-/** Amount by which a whole token may fall short, due to rounding when fractions are multiplied. */
+/** Tolerance for rounding errors when fractions are multiplied, in tokens. */
 const tokenTolerance = 1e-9;
 
 /** Holds the shares of account limits that one VM may use until they expire. */
@@ -25,7 +25,7 @@
 		return this.#sequence;
 	}
 
-	/** Time at which the shares expire. */
+	/** Monotonic time at which the shares expire, in milliseconds. */
 	get validUntil(): number {
 		return this.#validUntil;
 	}
@@ -44,7 +44,7 @@
 		return now < this.#validUntil ? (this.#shares.get(account)?.rateFraction ?? 0) * (this.getLimits(account)?.rate ?? 0) : 0;
 	}
 
-	/** Takes one token of an account; returns false if there is none. */
+	/** Takes one token of an account; returns whether there was one. */
 	takeToken(account: string, now: number): boolean {
 		const share = this.#refillShare(account, now);
 		if (share === undefined || share.tokens < 1 - tokenTolerance) {
@@ -69,7 +69,7 @@
 	/**
 	 * Applies a grant.
 	 * @param grant - Response to the last report sent.
-	 * @param sentAt - Time at which that report was sent.
+	 * @param sentAt - Monotonic time at which that report was sent, in milliseconds.
 	 * @param isPartial - Whether accounts that the grant does not list keep their shares.
 	 * @param now - Monotonic time in milliseconds.
 	 */
@@ -111,6 +111,7 @@
 		this.#shares.set(share.account, held);
 	}
 
+	/** Refills and returns the share of an account; undefined if it has none, has no limits or the shares have expired. */
 	#refillShare(account: string, now: number): HeldShare | undefined {
 		if (now >= this.#validUntil) {
 			this.clear();
--- a/packages/decisions/src/limits/share-messages.ts
+++ b/packages/decisions/src/limits/share-messages.ts
@@ -22,7 +22,7 @@
 	readonly incarnation: string;
 	/** Sequence number of the last grant that the sender applied; all other grants to it are void. */
 	readonly appliedSequence: number;
-	/** Whether the sender shuts down and returns everything. */
+	/** Whether the sender shuts down and returns all shares and tokens. */
 	readonly leaving: boolean;
 	/** Whether accounts that are not listed keep their shares. */
 	readonly partial: boolean;
@@ -42,7 +42,7 @@
 
 /** A grant that may still be in use, as handed over to the next allocator. */
 export type GrantState = {
-	/** VM and incarnation of the VM that holds the grant. */
+	/** VM and incarnation that hold the grant. */
 	readonly holder: string;
 	readonly sequence: number;
 	readonly expiresInMs: number;
@@ -59,7 +59,7 @@
 /** Shares granted to one VM for a limited time. */
 export type ShareGrant = {
 	readonly sequence: number;
-	/** Time for which the shares may be used, in milliseconds from when the report was sent. */
+	/** Time for which the shares may be used, in milliseconds, counted from when the report was sent. */
 	readonly validMs: number;
 	readonly accounts: readonly AccountShare[];
 };
--- a/packages/decisions/src/limits/sliding-window-counter.ts
+++ b/packages/decisions/src/limits/sliding-window-counter.ts
@@ -1,7 +1,7 @@
-/** Slots of a window; operations in the same slot are counted together. */
+/** Number of slots in a window; operations in the same slot are counted together. */
 const slotsPerWindow = 50;
 
-/** One slot more than a window has, as the oldest one is only partly outside the window. */
+/** Number of slots that are kept: one more than a window has, as the oldest one is still partly inside the window. */
 const slotCount = slotsPerWindow + 1;
 
 /** Counts operations in a sliding window. */
@@ -16,7 +16,7 @@
 		this.#slotMs = windowMs / slotsPerWindow;
 	}
 
-	/** Adds operations; a negative count takes back recent ones, but never below zero in the window. */
+	/** Adds operations; a negative count removes recent ones, down to zero in the window. */
 	add(count: number, now: number): void {
 		this.#advance(now);
 		const index = this.#newestSlot % slotCount;
--- a/packages/decisions/src/limits/sliding-window-limiter.ts
+++ b/packages/decisions/src/limits/sliding-window-limiter.ts
@@ -9,20 +9,20 @@
 }
 
 /**
- * Admits at most rate times window plus burst operations in every window. An account with sustained demand gets
- * them evenly and not in bursts, as a bucket of the same burst refills at the average rate of the window.
+ * Admits at most rate times window length plus burst operations in every window. A token bucket with the same burst,
+ * which refills at that average rate, spreads them evenly under sustained demand.
  */
 export class SlidingWindowLimiter {
 	readonly #counter: SlidingWindowCounter;
 	readonly #bucket: TokenBucket;
 	/** Operations per window under the limit. */
 	#allowedPerWindow: number;
-	/** The same without the operations reserved for others. */
+	/** Operations per window that may be admitted here: those under the limit, less those reserved for others. */
 	#maxPerWindow: number;
 
 	/**
 	 * @param limit - Initial limit.
-	 * @param windowMs - Window over which the limit holds, in milliseconds.
+	 * @param windowMs - Length of the window over which the limit holds, in milliseconds.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	constructor(limit: RateLimit, private readonly windowMs: number, now: number) {
@@ -34,7 +34,7 @@
 
 	/**
 	 * Assumes that a predecessor used the limit: all but the burst counts as used, spread evenly over the last window.
-	 * @param tokens - Operations that are still allowed at once.
+	 * @param tokens - Number of operations that are allowed immediately.
 	 */
 	assumePriorUsage({burst}: RateLimit, tokens: number, now: number): void {
 		this.#counter.addEvenly(Math.max(0, this.#maxPerWindow - burst), now);
@@ -45,7 +45,7 @@
 	/**
 	 * Sets the limit.
 	 * @param reserved - Operations per window that others may use without requesting tokens.
-	 * @param minFraction - Fraction of the limit that is never reserved.
+	 * @param minFraction - Minimum fraction of the limit that stays unreserved.
 	 */
 	setLimit(limit: RateLimit, reserved: number, minFraction: number, now: number): void {
 		const allowed = countAllowedPerWindow(limit, this.windowMs);
@@ -59,10 +59,10 @@
 		this.#bucket.setLimit(this.#createBucketLimit(limit, this.#maxPerWindow), now);
 	}
 
-	/** Takes a token for one operation; returns false if the limit is reached. */
+	/** Takes a token for one operation; returns whether the limit allows it. */
 	takeToken(now: number): boolean {
 		if (this.#counter.getCount(now) + 1 > this.#maxPerWindow) {
-			// An account that keeps asking continues at the average rate of the window, without another burst.
+			// Under sustained demand the account continues at the average rate of the window, without another burst.
 			this.#bucket.clear(now);
 			return false;
 		}
--- a/packages/decisions/src/limits/token-bucket.ts
+++ b/packages/decisions/src/limits/token-bucket.ts
@@ -1,4 +1,4 @@
-/** Rate in operations per second, and burst. */
+/** Rate in operations per second, and maximum burst in operations. */
 export type RateLimit = {
 	readonly ratePerS: number;
 	readonly burst: number;
@@ -13,7 +13,7 @@
 
 	/**
 	 * @param limit - Initial limit.
-	 * @param tokens - Initial tokens; less than the burst where a process does not know what its predecessor used.
+	 * @param tokens - Initial number of tokens; less than the burst if the process does not know what its predecessor used.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	constructor(private limit: RateLimit, tokens: number, now: number) {
@@ -30,7 +30,7 @@
 
 	/**
 	 * Takes one token.
-	 * @param overdraft - Tokens by which the level may fall below zero.
+	 * @param overdraft - Number of tokens by which the level may fall below zero.
 	 * @returns Whether a token was taken.
 	 */
 	takeToken(now: number, overdraft: number): boolean {
@@ -48,7 +48,7 @@
 		this.#tokens = Math.min(this.limit.burst, this.#tokens + count);
 	}
 
-	/** Removes all tokens; a negative level stays. */
+	/** Removes all tokens; a negative level remains negative. */
 	clear(now: number): void {
 		this.#refill(now);
 		this.#tokens = Math.min(this.#tokens, 0);
--- a/packages/decisions/src/limits/token-issuer.ts
+++ b/packages/decisions/src/limits/token-issuer.ts
@@ -5,14 +5,14 @@
 export type TokenDemand = {
 	/** Number of operations waiting for a token. */
 	readonly needed: number;
-	/** Tokens requested in advance, which would save the next request. */
+	/** Number of tokens requested in advance, to save the next request. */
 	readonly extra: number;
 };
 
 /** Tokens granted to a VM. */
 export type TokenGrant = {
 	readonly count: number;
-	/** Time until more are available, in milliseconds; zero if all needed tokens were granted. */
+	/** Time until another token is available, in milliseconds; zero if all needed tokens were granted. */
 	readonly waitMs: number;
 };
 
@@ -25,16 +25,16 @@
 	readonly limit: RateLimit;
 };
 
-/** Fraction of a burst that a new issuer starts with, as it does not know what its predecessor granted. */
+/** Fraction of a burst that a new issuer grants at once, as it does not know what its predecessor granted. */
 const initialBurstFraction = 0.3;
 
 /** Fill ratio of a bucket above which tokens are granted in advance. */
 const minPrefetchFillRatio = 0.5;
 
-/** Factor applied to the usage of the last window for a VM that can't reach the issuer: the overage that deployments allow. */
+/** Ratio of what a VM that cannot reach the issuer may admit to its usage in the last window: the excess that deployments allow. */
 const isolatedUsageFactor = 1.1;
 
-/** Minimum fraction of a limit that is granted, however much is reserved for silent VMs. */
+/** Minimum fraction of a limit that stays available to VMs that request tokens, however much is reserved for silent ones. */
 const minLimitFraction = 0.3;
 
 /** Time constant of the exponential average of a VM's usage, in milliseconds. */
@@ -45,14 +45,14 @@
 type UsageRate = {perSecond: number; updatedAt: number};
 
 type AccountState = {
-	readonly limit: SlidingWindowLimiter;
+	readonly limiter: SlidingWindowLimiter;
 	/** Average rate of tokens granted, by VM. */
 	readonly usageRates: Map<string, UsageRate>;
 };
 
-/** VMs that may admit operations without requesting tokens, as far as the issuer knows. */
+/** VMs that the issuer does not hear from but that may be running, and then admit operations without requesting tokens. */
 export type SilentMembers = {
-	/** VMs that have not been heard from but may be running. */
+	/** Names of these VMs. */
 	readonly silent: readonly string[];
 	/** Number of VMs that share a limit, including the silent ones. */
 	readonly members: number;
@@ -60,9 +60,9 @@
 
 /**
  * Returns the number of operations that a VM that can't reach the issuer may admit in a window:
- * its even share of the limit, or its recent usage plus the allowed overage if that is more.
+ * its even share of the limit, or its recent usage plus the allowed excess if that is more.
  * @param members - Number of VMs that share the limit.
- * @param used - Operations that the VM admitted in the last window.
+ * @param used - Number of operations that the VM admitted in the last window.
  */
 export function countAllowedInIsolation(limit: RateLimit, windowMs: number, members: number, used: number): number {
 	return Math.max(countAllowedPerWindow(limit, windowMs) / Math.max(1, members), used * isolatedUsageFactor);
@@ -72,38 +72,38 @@
 export class TokenIssuer {
 	readonly #accounts = new Map<string, AccountState>();
 
-	/** @param windowMs - Window over which limits hold, in milliseconds. */
+	/** @param windowMs - Length of the window over which limits hold, in milliseconds. */
 	constructor(private readonly windowMs: number) {}
 
 	/**
-	 * Grants tokens to a VM.
+	 * Grants tokens to a VM: as many of those needed as the limit allows, and then those requested in advance.
 	 * @param silentMembers - VMs that may admit operations without requesting tokens, see {@link countAllowedInIsolation}.
 	 * @param now - Monotonic time in milliseconds.
 	 */
 	grantTokens({vm, account, demand, limit}: TokenRequest, silentMembers: SilentMembers, now: number): TokenGrant {
 		const existing = this.#accounts.get(account);
 		const state = existing ?? this.#addAccount(account, limit, now);
-		state.limit.setLimit(limit, this.#countReserved(state, limit, silentMembers), minLimitFraction, now);
+		state.limiter.setLimit(limit, this.#countReserved(state, limit, silentMembers), minLimitFraction, now);
 		if (existing === undefined) {
-			state.limit.assumePriorUsage(limit, limit.burst * initialBurstFraction, now);
+			state.limiter.assumePriorUsage(limit, limit.burst * initialBurstFraction, now);
 		}
 
 		let count = 0;
-		while (count < demand.needed && state.limit.takeToken(now)) {
+		while (count < demand.needed && state.limiter.takeToken(now)) {
 			count += 1;
 		}
 
 		const isShort = count < demand.needed;
 		const maxCount = isShort ? count : demand.needed + demand.extra;
-		while (count < maxCount && state.limit.getFillRatio(now) > minPrefetchFillRatio && state.limit.takeToken(now)) {
+		while (count < maxCount && state.limiter.getFillRatio(now) > minPrefetchFillRatio && state.limiter.takeToken(now)) {
 			count += 1;
 		}
 
 		recordUsage(state.usageRates, vm, count, now);
-		return {count, waitMs: isShort ? Math.max(1, state.limit.getWaitMs(now)) : 0};
+		return {count, waitMs: isShort ? Math.max(1, state.limiter.getWaitMs(now)) : 0};
 	}
 
-	/** Drops the usage of a VM whose process restarted. */
+	/** Discards the recorded usage of a VM whose process restarted. */
 	removeVm(vm: string): void {
 		for (const {usageRates} of this.#accounts.values()) {
 			usageRates.delete(vm);
@@ -111,7 +111,7 @@
 	}
 
 	#addAccount(account: string, limit: RateLimit, now: number): AccountState {
-		const state = {limit: new SlidingWindowLimiter(limit, this.windowMs, now), usageRates: new Map<string, UsageRate>()};
+		const state = {limiter: new SlidingWindowLimiter(limit, this.windowMs, now), usageRates: new Map<string, UsageRate>()};
 		this.#accounts.set(account, state);
 		return state;
 	}
