--- a/packages/decisions/src/promotion/failure-detector.ts
+++ b/packages/decisions/src/promotion/failure-detector.ts
@@ -6,26 +6,26 @@
 	readonly vm: string;
 	/** Term that the report is about. */
 	readonly term: number;
-	/** Time for which the sender has seen failures, milliseconds; zero for none. */
+	/** Time for which the sender has seen failures, in milliseconds; zero for none. */
 	readonly failingMs: number;
-	/** Time at which the report was requested. */
+	/** Monotonic time at which this VM requested the report, in milliseconds. */
 	readonly requestedAt: number;
 };
 
 /** Options of failure detection. */
 export type FailureDetectorOptions = {
-	/** Time for which a VM has to see failures before a promotion is due. */
+	/** Time for which a VM has to see failures before a promotion is due, in milliseconds. */
 	readonly suspicionMs: number;
-	/** Maximum age of another VM's report. */
+	/** Maximum age of another VM's report, in milliseconds. */
 	readonly maxReportAgeMs: number;
-	/** Minimum time between two promotions that one VM starts in a group. */
+	/** Minimum time between two promotions that one VM starts in a group, in milliseconds. */
 	readonly minPromotionIntervalMs: number;
 };
 
 /** Default options of failure detection. */
 export const defaultFailureDetectorOptions: FailureDetectorOptions = {suspicionMs: 800, maxReportAgeMs: 1500, minPromotionIntervalMs: 2000};
 
-/** Detects the failure of the primary of one group, from the duration of failures and the reports of a majority. */
+/** Detects the failure of a group's primary: a majority of the voters has to see failures for long enough. */
 export class FailureDetector {
 	#failingSince: number | undefined;
 	#evaluatedTerm = 0;
@@ -34,7 +34,7 @@
 
 	constructor(private readonly group: GroupState, private readonly options: FailureDetectorOptions = defaultFailureDetectorOptions) {}
 
-	/** Evaluates the current observations of this VM. */
+	/** Updates the time since which this VM sees failures from the current state of the group. */
 	observe(now: number): void {
 		if (this.group.term !== this.#evaluatedTerm) {
 			this.#evaluatedTerm = this.group.term;
@@ -45,7 +45,7 @@
 		this.#failingSince = since === undefined ? undefined : Math.min(since, this.#failingSince ?? since);
 	}
 
-	/** Returns the time for which this VM has seen failures, milliseconds; zero for none. */
+	/** Returns the time for which this VM has seen failures, in milliseconds; zero for none. */
 	getFailingMs(now: number): number {
 		return this.#failingSince === undefined ? 0 : Math.max(1, now - this.#failingSince);
 	}
@@ -54,13 +54,13 @@
 		this.#reports.set(report.vm, report);
 	}
 
-	/** Whether this VM has seen failures for long enough to request the reports of the others at once. */
+	/** Returns whether this VM has seen failures for long enough to request the reports of the others at once. */
 	isPrimarySuspected(now: number): boolean {
 		return this.getFailingMs(now) >= this.options.suspicionMs / 2;
 	}
 
 	/**
-	 * Whether a promotion is due.
+	 * Returns whether a promotion is due.
 	 * @param name - Name of this VM.
 	 * @param voters - Names of the VMs that vote.
 	 * @param now - Monotonic time in milliseconds.
@@ -85,7 +85,7 @@
 			&& now - report.requestedAt <= this.options.maxReportAgeMs;
 	}
 
-	/** Returns the time since which the primary is unknown, unreachable or silent towards its replicas; undefined if it is none of these. */
+	/** Returns the time since which the primary has been unknown, unreachable or silent towards its replicas; undefined if it is none of these. */
 	#findFailureStart(now: number): number | undefined {
 		const {primary} = this.group;
 		if (primary === undefined) {
--- a/packages/decisions/src/promotion/promotion-round.ts
+++ b/packages/decisions/src/promotion/promotion-round.ts
@@ -14,14 +14,14 @@
 export type PromotionCommand =
 	| {readonly kind: 'wait'}
 	| {readonly kind: 'promote'; readonly instance: string; readonly term: number}
-	/** Another promoter holds this term or a later one. */
+	/** An instance has accepted this term from another promoter, or a later term. */
 	| {readonly kind: 'give-up'; readonly seenTerm: number};
 
 /**
  * One attempt to promote a new primary in a group.
- * First a majority of the instances has to refuse every older term. A write is acknowledged only when two
- * instances hold it, so among three instances any majority that has accepted the term holds all acknowledged writes,
- * and its most advanced instance has all of them.
+ * First a majority of the instances has to accept the new term, after which it refuses every older one.
+ * A write is acknowledged only when two instances hold it, so in a group of three the instance of that majority
+ * with the latest position holds all acknowledged writes.
  */
 export class PromotionRound {
 	readonly #accepted: FenceAnswer[] = [];
@@ -31,7 +31,7 @@
 	/**
 	 * @param term - Term of the new primary.
 	 * @param instances - Every instance of the group.
-	 * @param graceMs - Time to wait for late responses after a majority has accepted, milliseconds.
+	 * @param graceMs - Time to wait for late responses after a majority has accepted, in milliseconds.
 	 * @param failingPrimary - Instance to replace; it is promoted again only if there is no majority without it.
 	 */
 	constructor(readonly term: number, private readonly instances: readonly string[], private readonly graceMs: number, private readonly failingPrimary?: string) {}
--- a/packages/decisions/src/queueing/fair-queue.ts
+++ b/packages/decisions/src/queueing/fair-queue.ts
@@ -7,18 +7,21 @@
 	readonly priority: Priority;
 	/** Weight of the account. */
 	readonly weight: number;
+	/** Monotonic time at which the request expires, in milliseconds. */
 	readonly deadline: number;
 	readonly value: T;
 };
 
-/** Policies for ordering waiting requests. */
+/** Policies for ordering waiting requests: weighted fair queueing, or a single queue in order of arrival. */
 export type QueuePolicy = 'fair' | 'first-come';
 
 type AccountQueue<T> = {virtualFinish: number; entries: Array<QueueEntry<T>>};
 
 type PriorityClass<T> = {
 	readonly weight: number;
-	served: number;
+	/** Number of requests served, divided by the weight; the class with the lowest value is served next. */
+	weightedServedCount: number;
+	/** Virtual time of weighted fair queueing between the accounts of the class. */
 	virtualTime: number;
 	readonly accounts: Map<string, AccountQueue<T>>;
 };
@@ -27,8 +30,8 @@
 const priorityWeights: Readonly<Record<Priority, number>> = {high: 16, normal: 4, low: 1};
 
 /**
- * Orders waiting requests: between classes by weight, so that none starves, and within a class
- * by weighted fair queueing over the client accounts.
+ * Orders waiting requests: between priority classes in proportion to their weights, so that none starves,
+ * and within a class by weighted fair queueing between the client accounts.
  */
 export class FairQueue<T> {
 	readonly #classes: Readonly<Record<Priority, PriorityClass<T>>>;
@@ -56,29 +59,29 @@
 
 	addEntry(entry: QueueEntry<T>): void {
 		const priorityClass = this.#classes[this.#getEffectivePriority(entry.priority)];
-		const name = this.#getQueueKey(entry.account);
-		const queue = priorityClass.accounts.get(name) ?? {virtualFinish: priorityClass.virtualTime, entries: []};
+		const key = this.#getQueueKey(entry.account);
+		const queue = priorityClass.accounts.get(key) ?? {virtualFinish: priorityClass.virtualTime, entries: []};
 		if (this.#isEmptyClass(priorityClass)) {
-			priorityClass.served = this.#getLeastServed(priorityClass.served);
+			priorityClass.weightedServedCount = this.#getResumedServedCount(priorityClass.weightedServedCount);
 		}
 
 		queue.entries.push(entry);
-		priorityClass.accounts.set(name, queue);
+		priorityClass.accounts.set(key, queue);
 		this.#size += 1;
 	}
 
 	/**
-	 * Removes and returns the next request that can be placed.
-	 * @param canPlace - Whether a request could be sent to an instance now.
+	 * Removes and returns the next request that can be placed, undefined if there is none.
+	 * @param canPlace - Returns whether a request could be sent to an instance now.
 	 */
 	removeNext(canPlace: (entry: QueueEntry<T>) => boolean): QueueEntry<T> | undefined {
 		const classes = priorities.map(priority => this.#classes[priority])
 			.filter(priorityClass => !this.#isEmptyClass(priorityClass))
-			.toSorted((a, b) => a.served - b.served);
+			.toSorted((a, b) => a.weightedServedCount - b.weightedServedCount);
 		for (const priorityClass of classes) {
 			const entry = this.#removeFromClass(priorityClass, canPlace);
 			if (entry !== undefined) {
-				priorityClass.served += 1 / priorityClass.weight;
+				priorityClass.weightedServedCount += 1 / priorityClass.weight;
 				return entry;
 			}
 		}
@@ -86,15 +89,15 @@
 		return undefined;
 	}
 
-	/** Removes a waiting request. */
+	/** Removes the request with a value, if it is waiting. */
 	removeEntry(value: T): void {
 		for (const priority of priorities) {
-			for (const [name, queue] of this.#classes[priority].accounts) {
+			for (const [key, queue] of this.#classes[priority].accounts) {
 				const index = queue.entries.findIndex(entry => entry.value === value);
 				if (index !== -1) {
 					queue.entries.splice(index, 1);
 					this.#size -= 1;
-					this.#removeIfEmpty(this.#classes[priority], name, queue);
+					this.#removeIfEmpty(this.#classes[priority], key, queue);
 					return;
 				}
 			}
@@ -105,10 +108,10 @@
 	removeExpired(now: number): Array<QueueEntry<T>> {
 		const expired: Array<QueueEntry<T>> = [];
 		for (const priority of priorities) {
-			for (const [name, queue] of this.#classes[priority].accounts) {
+			for (const [key, queue] of this.#classes[priority].accounts) {
 				expired.push(...queue.entries.filter(entry => entry.deadline <= now));
 				queue.entries = queue.entries.filter(entry => entry.deadline > now);
-				this.#removeIfEmpty(this.#classes[priority], name, queue);
+				this.#removeIfEmpty(this.#classes[priority], key, queue);
 			}
 		}
 
@@ -118,13 +121,13 @@
 
 	#removeFromClass(priorityClass: PriorityClass<T>, canPlace: (entry: QueueEntry<T>) => boolean): QueueEntry<T> | undefined {
 		const queues = [...priorityClass.accounts].toSorted(([, a], [, b]) => a.virtualFinish - b.virtualFinish);
-		for (const [name, queue] of queues) {
+		for (const [key, queue] of queues) {
 			const index = queue.entries.findIndex(entry => canPlace(entry));
 			if (index !== -1) {
 				const [entry] = queue.entries.splice(index, 1);
 				priorityClass.virtualTime = Math.max(priorityClass.virtualTime, queue.virtualFinish);
 				queue.virtualFinish = Math.max(queue.virtualFinish, priorityClass.virtualTime) + (1 / entry!.weight);
-				this.#removeIfEmpty(priorityClass, name, queue);
+				this.#removeIfEmpty(priorityClass, key, queue);
 				this.#size -= 1;
 				return entry;
 			}
@@ -133,10 +136,10 @@
 		return undefined;
 	}
 
-	#removeIfEmpty(priorityClass: PriorityClass<T>, name: string, queue: AccountQueue<T>): void {
+	#removeIfEmpty(priorityClass: PriorityClass<T>, key: string, queue: AccountQueue<T>): void {
 		// An idle account is kept only while its virtual finish time is ahead of the virtual time of the class.
 		if (queue.entries.length === 0 && queue.virtualFinish <= priorityClass.virtualTime) {
-			priorityClass.accounts.delete(name);
+			priorityClass.accounts.delete(key);
 		}
 	}
 
@@ -150,10 +153,10 @@
 		return true;
 	}
 
-	/** Returns the count of served requests at which an idle class resumes: it gets no credit for service that it did not use. */
-	#getLeastServed(own: number): number {
-		const served = priorities.map(priority => this.#classes[priority]).filter(other => !this.#isEmptyClass(other)).map(other => other.served);
-		return served.length === 0 ? own : Math.max(own, Math.min(...served));
+	/** Returns the weighted served count with which an idle class resumes: at least that of the least served active class, so that it gets no credit for its idle time. */
+	#getResumedServedCount(ownCount: number): number {
+		const served = priorities.map(priority => this.#classes[priority]).filter(other => !this.#isEmptyClass(other)).map(other => other.weightedServedCount);
+		return served.length === 0 ? ownCount : Math.max(ownCount, Math.min(...served));
 	}
 
 	#getQueueKey(account: string): string {
@@ -167,6 +170,6 @@
 
 function createClass<T>(priority: Priority): PriorityClass<T> {
 	return {
-		weight: priorityWeights[priority], served: 0, virtualTime: 0, accounts: new Map(),
+		weight: priorityWeights[priority], weightedServedCount: 0, virtualTime: 0, accounts: new Map(),
 	};
 }
--- a/packages/decisions/src/queueing/wait-estimator.ts
+++ b/packages/decisions/src/queueing/wait-estimator.ts
@@ -1,12 +1,12 @@
 /** Weight of the newest interval in the moving average. */
 const smoothingFactor = 0.1;
 
-/** Longest interval that enters the average, milliseconds: a longer one is an outage, which says nothing about the service rate. */
+/** Maximum interval that enters the average, in milliseconds; a longer one is an outage, which says nothing about the service rate. */
 const maxIntervalMs = 1000;
 
 /**
- * Estimates how long a request will wait, from the rate at which requests leave a queue. Under a load beyond capacity
- * an unbounded queue refuses requests only at their deadline; by the estimate they are refused on arrival, and those that are served wait less.
+ * Estimates how long a request will wait, from the mean interval at which requests leave the queue. With the estimate an overloaded
+ * queue can refuse requests on arrival instead of at their deadline, so that those that are served wait less.
  */
 export class WaitEstimator {
 	#meanIntervalMs = 0;
@@ -26,7 +26,7 @@
 	}
 
 	/**
-	 * Estimates the wait of a request, milliseconds.
+	 * Estimates the wait of a request, in milliseconds.
 	 * @param ahead - Number of requests that will be placed before it.
 	 */
 	estimateWaitMs(ahead: number): number {
