--- a/packages/decisions/src/freshness/freshness-tracker.ts
+++ b/packages/decisions/src/freshness/freshness-tracker.ts
@@ -1,9 +1,9 @@
 import {getMajority} from '../leases/lease-candidate.js';
 
 /**
- * Tracks an upper bound of the age of this proxy's view of the configuration.
- * A view is as fresh as its last sync with the store, directly or through a peer,
- * or as its last sync with a majority of the voters, each of which knows every accepted change.
+ * Tracks an upper bound of the age of this proxy's view of the configuration: the time since its last sync
+ * with the store, directly or through a peer, or with a majority of the voters, whichever is shorter.
+ * A majority suffices because every accepted change is known to one.
  */
 export class FreshnessTracker {
 	#storeSyncedAt = Number.NEGATIVE_INFINITY;
@@ -12,8 +12,8 @@
 
 	/**
 	 * @param name - Name of this VM.
-	 * @param maxAgeMs - Maximum age of a view that may be used.
-	 * @param startedAt - Start time of this process.
+	 * @param maxAgeMs - Maximum age of a view that may be used, in milliseconds.
+	 * @param startedAt - Monotonic time at which this process started, in milliseconds.
 	 */
 	constructor(private readonly name: string, private readonly maxAgeMs: number, private readonly startedAt: number) {}
 
@@ -22,7 +22,7 @@
 		return this.#isSynchronized;
 	}
 
-	/** Returns the time since the last sync with the store, undefined before the first one. */
+	/** Returns the time since the last sync with the store, in milliseconds; undefined before the first one. */
 	getStoreSyncAgeMs(now: number): number | undefined {
 		return Number.isFinite(this.#storeSyncedAt) ? now - this.#storeSyncedAt : undefined;
 	}
@@ -42,17 +42,17 @@
 		}
 	}
 
-	/** Removes a peer that restarted: its new process has to be synced with again. */
+	/** Discards the syncs with a peer that restarted, as its new process may not know every change. */
 	removePeer(peer: string): void {
 		this.#peerSyncTimes.delete(peer);
 	}
 
-	/** Returns the age of the view, infinite before the first sync. */
+	/** Returns the age of the view, in milliseconds; infinite before the first sync. */
 	getAgeMs(voters: readonly string[], now: number): number {
 		return now - Math.max(this.#storeSyncedAt, this.#getMajoritySyncedAt(voters, now));
 	}
 
-	/** Whether the view is fresh enough to be used. */
+	/** Returns whether the view is fresh enough to be used. */
 	isFresh(voters: readonly string[], now: number): boolean {
 		return this.getAgeMs(voters, now) <= this.maxAgeMs;
 	}
--- a/packages/decisions/src/freshness/position-history.ts
+++ b/packages/decisions/src/freshness/position-history.ts
@@ -6,14 +6,14 @@
 	readonly position: LogPosition;
 };
 
-/** Minimum distance of the samples that are kept, milliseconds: denser ones do not help readers. */
+/** Minimum time between samples that are kept, in milliseconds; denser samples do not help readers. */
 const minSampleSpacingMs = 20;
 
 /** Recent log positions of a group's primary, from which a read gets the lowest position that is fresh enough. */
 export class PositionHistory {
 	#samples: PositionSample[] = [];
 
-	/** @param retentionMs - Largest staleness that a reader accepts, milliseconds. */
+	/** @param retentionMs - Maximum staleness that a reader accepts, in milliseconds. */
 	constructor(private readonly retentionMs: number) {}
 
 	/**
@@ -27,7 +27,7 @@
 			return;
 		}
 
-		// The newest sample is always kept; the others keep the minimum distance.
+		// The newest sample is always kept; the others keep the minimum spacing.
 		const beforeLast = this.#samples.at(-2);
 		if (last !== undefined && beforeLast !== undefined && last.observedAt < beforeLast.observedAt + minSampleSpacingMs) {
 			this.#samples.pop();
@@ -41,13 +41,14 @@
 	}
 
 	/**
-	 * Returns the lowest position that covers every commit acknowledged before a time.
+	 * Returns the lowest position that covers every commit acknowledged before a time; undefined if every sample is older.
 	 * @param time - Monotonic time in milliseconds.
 	 */
 	getPositionCovering(time: number): LogPosition | undefined {
 		return this.#samples.find(sample => sample.observedAt >= time)?.position;
 	}
 
+	/** Returns the newest sample, undefined if there is none. */
 	getNewestSample(): PositionSample | undefined {
 		return this.#samples.at(-1);
 	}
--- a/packages/decisions/src/leases/dual-clock-lease.ts
+++ b/packages/decisions/src/leases/dual-clock-lease.ts
@@ -18,7 +18,7 @@
 
 	/**
 	 * Renews the lease, unless a later renewal is already in effect.
-	 * @param at - Time at which the renewal was requested.
+	 * @param at - Clock reading when the renewal was requested.
 	 */
 	renew(at: ClockReading): void {
 		if (this.#renewedAt === undefined || at.monotonicMs > this.#renewedAt.monotonicMs) {
@@ -26,6 +26,7 @@
 		}
 	}
 
+	/** Returns whether the lease is in effect. */
 	isHeld(now: ClockReading): boolean {
 		return this.getRemainingMs(now) > 0;
 	}
--- a/packages/decisions/src/leases/lease-candidate.ts
+++ b/packages/decisions/src/leases/lease-candidate.ts
@@ -3,10 +3,10 @@
 	return Math.floor(voterCount / 2) + 1;
 }
 
-/** One round of promise requests to every voter. */
+/** One round of promise requests to all voters. */
 export type LeaseRound = {
 	readonly term: number;
-	/** Time at which the round started; a lease counts from then. */
+	/** Monotonic time at which the round started, in milliseconds; a lease that it gains starts then. */
 	readonly sentAt: number;
 };
 
@@ -34,22 +34,22 @@
 		return this.#term;
 	}
 
-	/** Time until which the lease is held. */
+	/** Monotonic time until which the lease is held, in milliseconds. */
 	get heldUntil(): number {
 		return this.#heldUntil;
 	}
 
-	/** Says whether this candidate holds the lease. */
+	/** Returns whether this candidate holds the lease. */
 	isHeld(now: number): boolean {
 		return now < this.#heldUntil;
 	}
 
-	/** Records whether the lease is vacant. */
+	/** Records whether no candidate holds the lease, as far as this VM knows. */
 	observeVacancy(isVacant: boolean, now: number): void {
 		this.#vacantSince = isVacant ? this.#vacantSince ?? now : undefined;
 	}
 
-	/** Says whether a round may be due; whether it starts depends on the candidate's rank. */
+	/** Returns whether a round may be due; whether it starts also depends on the candidate's rank. */
 	isRoundDue(now: number): boolean {
 		return now >= this.#nextAttemptAt && (this.isHeld(now) || this.#vacantSince !== undefined);
 	}
--- a/packages/decisions/src/leases/lease-voter.ts
+++ b/packages/decisions/src/leases/lease-voter.ts
@@ -31,7 +31,7 @@
 	#promisedUntil = Number.NEGATIVE_INFINITY;
 
 	/**
-	 * @param startedAt - Time at which this process started.
+	 * @param startedAt - Monotonic time at which this process started, in milliseconds.
 	 * @param maxLeaseMs - Maximum duration that any candidate requests, in milliseconds.
 	 */
 	constructor(private readonly startedAt: number, private readonly maxLeaseMs: number) {}
@@ -41,11 +41,12 @@
 		return now < this.#promisedUntil ? this.#holder : '';
 	}
 
+	/** Highest term for which this voter has promised the lease, zero for none. */
 	get term(): number {
 		return this.#term;
 	}
 
-	/** Promises the lease to the candidate, or returns the holder of the promise in force. */
+	/** Promises the lease to the candidate unless the promise to another holder is in force, and returns the response. */
 	handlePromiseRequest(request: PromiseRequest, now: number): PromiseAnswer {
 		const startupDelayMs = this.startedAt + (this.maxLeaseMs * (1 + maxClockDriftFraction)) - now;
 		if (startupDelayMs > 0) {
--- a/packages/decisions/src/retries/backoff.ts
+++ b/packages/decisions/src/retries/backoff.ts
@@ -3,13 +3,13 @@
 	#failures = 0;
 
 	/**
-	 * @param initialDelayMs - First delay on average, milliseconds.
-	 * @param maxDelayMs - Maximum delay on average, milliseconds.
+	 * @param initialDelayMs - Mean of the first delay, in milliseconds.
+	 * @param maxDelayMs - Maximum mean of a delay, in milliseconds.
 	 * @param random - Returns a number from zero up to but not including one.
 	 */
 	constructor(private readonly initialDelayMs: number, private readonly maxDelayMs: number, private readonly random: () => number) {}
 
-	/** Counts a failure and returns the delay before the next attempt, milliseconds. */
+	/** Counts a failure and returns the delay before the next attempt, in milliseconds. */
 	getNextDelayMs(): number {
 		const delayMs = Math.min(this.maxDelayMs, this.initialDelayMs * (2 ** this.#failures));
 		this.#failures = Math.min(this.#failures + 1, 16);
--- a/packages/decisions/src/retries/retry-table.ts
+++ b/packages/decisions/src/retries/retry-table.ts
@@ -1,4 +1,4 @@
-/** Classes of requests by the effect of running them twice. */
+/** Classes of requests by whether they may run twice. */
 export type RequestClass =
 	| 'read'
 	/** A write that may run twice. */
@@ -19,7 +19,7 @@
 	/** It got a response, but no replica confirmed it in that term. */
 	| 'unconfirmed';
 
-/** What to do with a request after a failed attempt. */
+/** What to do with a request after a failed attempt: retry it, or refuse it as not run or with unknown outcome. */
 export type RetryDecision = 'retry' | 'refuse-not-run' | 'refuse-unknown';
 
 const decisions: Readonly<Record<RequestClass, Readonly<Record<RequestStage, RetryDecision>>>> = {
--- a/packages/decisions/src/routing/group-state.ts
+++ b/packages/decisions/src/routing/group-state.ts
@@ -14,7 +14,7 @@
 		return [...this.#instances.values()];
 	}
 
-	/** The primary of the highest known term. */
+	/** Primary of the highest known term, undefined if it is not known. */
 	get primary(): InstanceView | undefined {
 		return this.primaryName === undefined ? undefined : this.#instances.get(this.primaryName);
 	}
@@ -23,6 +23,7 @@
 		return this.instances.filter(instance => instance.name !== this.primaryName);
 	}
 
+	/** Returns an instance by name, undefined if there is none. */
 	getInstance(name: string): InstanceView | undefined {
 		return this.#instances.get(name);
 	}
--- a/packages/decisions/src/routing/instance-view.ts
+++ b/packages/decisions/src/routing/instance-view.ts
@@ -1,8 +1,9 @@
 import {getLaterPosition, logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** Status of an instance as it reports it. */
+/** Status of an instance, as reported by itself. */
 export type InstanceReport = {
 	readonly term: number;
+	/** Promoter that the instance accepted the term from. */
 	readonly promoter: string;
 	readonly primary: boolean;
 	readonly position: LogPosition;
@@ -18,9 +19,9 @@
 	term = 0;
 	isPrimary = false;
 	isLeaving = false;
-	/** Time since which every attempt to reach it has failed. */
+	/** Monotonic time since which every attempt to reach it has failed, in milliseconds; undefined while it is reachable. */
 	unreachableSince: number | undefined;
-	/** Requests of this proxy that are running on it. */
+	/** Number of requests of this proxy that are running on it. */
 	inUse = 0;
 	/** Maximum number of requests of this proxy that run on it at once. */
 	limit = 1;
@@ -51,7 +52,7 @@
 		return this.isPrimary ? 0 : this.#stalenessMs + (now - this.#reportedAt);
 	}
 
-	/** Records a status that was requested at `sentAt`. */
+	/** Records the response to a status request that was sent at `sentAt`. */
 	observeReport(report: InstanceReport, sentAt: number): void {
 		this.observeReachable();
 		this.term = Math.max(this.term, report.term);
@@ -60,7 +61,7 @@
 		this.observePosition(report.position, report.stalenessMs, sentAt);
 	}
 
-	/** Records the position and staleness of a response that was requested at `sentAt`. */
+	/** Records the position and staleness from a response to a request that was sent at `sentAt`. */
 	observePosition(position: LogPosition, stalenessMs: number, sentAt: number): void {
 		this.position = getLaterPosition(this.position, position);
 		if (sentAt >= this.#reportedAt) {
@@ -77,7 +78,7 @@
 		this.unreachableSince ??= now;
 	}
 
-	/** Records the duration of one request. */
+	/** Records the duration of a request, in milliseconds. */
 	observeLatency(durationMs: number): void {
 		const smoothingFactor = 0.1;
 		this.latencyMs = this.latencyMs === 0 ? durationMs : this.latencyMs + (smoothingFactor * (durationMs - this.latencyMs));
--- a/packages/decisions/src/routing/read-router.ts
+++ b/packages/decisions/src/routing/read-router.ts
@@ -6,7 +6,7 @@
 export type ReadRequirements = {
 	readonly position: LogPosition;
 	readonly primaryOnly: boolean;
-	/** Staleness that the read accepts, milliseconds; zero means any. */
+	/** Maximum staleness that the read accepts, in milliseconds; zero means any. */
 	readonly maxStalenessMs: number;
 	/** Instances that have already failed to serve it. */
 	readonly tried: ReadonlySet<string>;
@@ -14,18 +14,25 @@
 
 /** Where to send a read next. */
 export type ReadChoice =
+	/** The instance gets `waitMs` milliseconds to reach the position. */
 	| {readonly kind: 'send'; readonly instance: InstanceView; readonly waitMs: number}
-	/** Instances could serve it but none has capacity. */
+	/** At least one instance could serve it, but none of them has capacity. */
 	| {readonly kind: 'wait'}
 	/** No instance can serve it. */
 	| {readonly kind: 'none'};
 
-/** Policies for placing reads. */
-export type ReadPolicy = 'product' | 'primary-only' | 'round-robin';
+/** Policies for placing reads; the default is `product`, the others are for comparison. */
+export type ReadPolicy =
+	/** The least loaded replica that is fresh enough and has reached the position or will soon, otherwise the primary. */
+	| 'product'
+	| 'primary-only'
+	/** Each replica in turn, whatever its position, otherwise the primary. */
+	| 'round-robin';
 
-/** Time that a replica gets to reach a position, in milliseconds. */
+/** Maximum time that a replica gets to reach a position, in milliseconds. */
 export const maxReplicaWaitMs = 25;
 
+/** Fraction by which the cost of an instance in another availability zone is increased. */
 const crossZonePenalty = 0.25;
 
 /** Places reads on the instances of a group. */
--- a/packages/decisions/src/sessions/session.ts
+++ b/packages/decisions/src/sessions/session.ts
@@ -1,15 +1,15 @@
 import {getLaterPosition, logStart, type LogPosition} from '@chicorysaddle/model';
 
-/** Position in one database group that the later requests of a session have to include. */
+/** Minimum position in one database group that the later reads of a session have to include. */
 export type SessionWatermark = {
 	readonly position: LogPosition;
-	/** True after a write with unknown outcome, until a read at the primary. */
+	/** Whether reads have to go to the primary: true after a write with unknown outcome, until a response of the primary. */
 	readonly primaryOnly: boolean;
 };
 
 const initialWatermark: SessionWatermark = {position: logStart, primaryOnly: false};
 
-/** Session of a caller: the position in each group that its later requests have to include. */
+/** Session of a caller: the watermark of each group that it has used. */
 export class Session {
 	readonly #watermarks = new Map<string, SessionWatermark>();
 
@@ -17,7 +17,7 @@
 		this.#watermarks = new Map(watermarks);
 	}
 
-	/** Returns the watermark of a group. */
+	/** Returns the watermark of a group, at the start of the log if the session has none. */
 	getWatermark(group: string): SessionWatermark {
 		return this.#watermarks.get(group) ?? initialWatermark;
 	}
