--- a/packages/decisions/src/tests/leases/lease-candidate.test.ts
+++ b/packages/decisions/src/tests/leases/lease-candidate.test.ts
@@ -12,7 +12,7 @@
 	/** A candidate is paused and resumes with its old state. */
 	| {readonly kind: 'pause'; readonly candidate: number; readonly at: number; readonly durationMs: number};
 
-const fault: fc.Arbitrary<Fault> = fc.oneof(
+const faultArbitrary: fc.Arbitrary<Fault> = fc.oneof(
 	fc.record({kind: fc.constant('restart' as const), voter: fc.nat(2), at: fc.nat(10_000)}),
 	fc.record({
 		kind: fc.constant('pause' as const), candidate: fc.nat(1), at: fc.nat(10_000), durationMs: fc.nat(5000),
@@ -21,7 +21,7 @@
 
 test('no two candidates hold the lease at once, with lost messages, restarted voters and paused candidates', t => {
 	let heldCount = 0;
-	fc.assert(fc.property(fc.array(fault, {maxLength: 5}), fc.infiniteStream(fc.nat(99)), fc.constantFrom(0, 20, 50), (faults, randomNumbers, lossPercent) => {
+	fc.assert(fc.property(fc.array(faultArbitrary, {maxLength: 5}), fc.infiniteStream(fc.nat(99)), fc.constantFrom(0, 20, 50), (faults, randomNumbers, lossPercent) => {
 		const voters = new Map(voterNames.map(name => [name, new LeaseVoter(-10_000, timing.durationMs)]));
 		const candidates = [0, 1].map(index => ({id: `c${index}`, index, candidate: new LeaseCandidate(timing)}));
 		const isLost = () => randomNumbers.next().value! < lossPercent;
--- a/packages/decisions/src/tests/limits/limit-simulation.ts
+++ b/packages/decisions/src/tests/limits/limit-simulation.ts
@@ -3,7 +3,7 @@
 	AdmissionControl, type DemandReport, ShareAllocator, type ShareGrant,
 } from '../../index.js';
 
-/** Load and faults of a simulation. */
+/** Options of a simulation: the load and the faults. */
 export type LimitSimulationOptions = {
 	readonly limits: AccountLimits;
 	readonly vms: number;
@@ -16,22 +16,22 @@
 	getRandom(): number;
 	/** Fraction of messages that are lost. */
 	readonly loss?: number;
-	/** Whether a VM is paused at a time. */
+	/** Returns whether a VM is paused at a time. */
 	isPaused?(vm: number, now: number): boolean;
-	/** Active limits at a VM, where they change. */
+	/** Returns the limits in effect at a VM, if they change during the simulation. */
 	getLimitsAt?(vm: number, now: number): AccountLimits;
 };
 
 /** An admitted request. */
 export type Admission = {readonly at: number; readonly vm: number};
 
-/** Outcome of a simulation; `WithinLimit` counts requests that one exact token bucket would admit. */
+/** Outcome of a simulation; the counts `...WithinLimit` cover the requests that a single exact token bucket would admit. */
 export type LimitSimulationResult = {readonly admitted: Admission[]; readonly refused: number; readonly refusedWithinLimit: number; readonly offeredWithinLimit: number; readonly reports: number};
 
 type Message = {readonly at: number; deliver(now: number): void};
 
 const stepMs = 2;
-/** Minimum delay of a message, and range of the random delay on top. */
+/** Minimum delay of a message and range of the random delay added to it, in milliseconds. */
 const delayMs = 2;
 /** Time after which a report counts as lost, in milliseconds. */
 const timeoutMs = 400;
@@ -50,8 +50,8 @@
 	const exactBucket = {tokens: limits.burst, at: 0};
 	const getLimits = (vm: number) => options.getLimitsAt?.(vm, now) ?? limits;
 	const allocator = new ShareAllocator(0, () => getLimits(0));
-	const nodes = Array.from({length: options.vms}, (_, vm) => ({
-		vm, admission: new AdmissionControl(() => getLimits(vm)), outstanding: 0, reportId: 0, sentAt: 0,
+	const simulatedVms = Array.from({length: options.vms}, (_, vm) => ({
+		vm, admission: new AdmissionControl(() => getLimits(vm)), outstandingReportId: 0, reportId: 0, sentAt: 0,
 	}));
 	let nextId = 1;
 
@@ -61,22 +61,22 @@
 		}
 	};
 
-	const sendReport = (node: (typeof nodes)[number], isPartial: boolean) => {
-		const report: DemandReport = node.admission.createReport(`vm-${node.vm}`, '1', isPartial, now);
-		node.reportId += 1;
-		node.outstanding = node.reportId;
-		node.sentAt = now;
+	const sendReport = (simulatedVm: (typeof simulatedVms)[number], isPartial: boolean) => {
+		const report: DemandReport = simulatedVm.admission.createReport(`vm-${simulatedVm.vm}`, '1', isPartial, now);
+		simulatedVm.reportId += 1;
+		simulatedVm.outstandingReportId = simulatedVm.reportId;
+		simulatedVm.sentAt = now;
 		result.reports += 1;
-		const {reportId, sentAt} = node;
+		const {reportId, sentAt} = simulatedVm;
 		sendMessage(at => {
 			const grant: ShareGrant = allocator.createGrant(report, Number.POSITIVE_INFINITY, at);
 			const receive = (arrived: number) => {
-				if (options.isPaused?.(node.vm, arrived)) {
+				if (options.isPaused?.(simulatedVm.vm, arrived)) {
 					// A paused process reads its messages when it resumes.
 					messages.push({at: arrived + stepMs, deliver: receive});
-				} else if (node.outstanding === reportId) {
-					node.admission.applyGrant(grant, sentAt, isPartial, arrived);
-					node.outstanding = 0;
+				} else if (simulatedVm.outstandingReportId === reportId) {
+					simulatedVm.admission.applyGrant(grant, sentAt, isPartial, arrived);
+					simulatedVm.outstandingReportId = 0;
 				}
 			};
 
@@ -84,10 +84,10 @@
 		});
 	};
 
-	const recordDecisions = (node: (typeof nodes)[number], decisions: ReturnType<AdmissionControl['processWaiters']>) => {
+	const recordDecisions = (simulatedVm: (typeof simulatedVms)[number], decisions: ReturnType<AdmissionControl['processWaiters']>) => {
 		for (const decision of decisions) {
 			if (decision.kind === 'admitted') {
-				admitted.push({at: now, vm: node.vm});
+				admitted.push({at: now, vm: simulatedVm.vm});
 			} else {
 				result.refused += 1;
 				result.refusedWithinLimit += withinLimit.has(decision.id) ? 1 : 0;
@@ -95,7 +95,7 @@
 		}
 	};
 
-	const offerRequest = (node: (typeof nodes)[number]) => {
+	const offerRequest = (simulatedVm: (typeof simulatedVms)[number]) => {
 		exactBucket.tokens = Math.min(limits.burst, exactBucket.tokens + (((now - exactBucket.at) / 1000) * limits.rate));
 		exactBucket.at = now;
 		const id = nextId;
@@ -106,8 +106,8 @@
 			result.offeredWithinLimit += 1;
 		}
 
-		const decision = node.admission.requestAdmission(id, account, now + 5000, now);
-		recordDecisions(node, decision === undefined ? [] : [decision]);
+		const decision = simulatedVm.admission.requestAdmission(id, account, now + 5000, now);
+		recordDecisions(simulatedVm, decision === undefined ? [] : [decision]);
 	};
 
 	const deliverMessages = () => {
@@ -118,30 +118,30 @@
 		}
 	};
 
-	const runStep = (node: (typeof nodes)[number]) => {
-		const demand = now < (options.quietMs ?? 0) ? 0 : options.demand[node.vm]!;
+	const runStep = (simulatedVm: (typeof simulatedVms)[number]) => {
+		const demand = now < (options.quietMs ?? 0) ? 0 : options.demand[simulatedVm.vm]!;
 		for (let remaining = (demand * stepMs) / 1000; remaining > 0; remaining -= 1) {
 			if (getRandom() < remaining) {
-				offerRequest(node);
+				offerRequest(simulatedVm);
 			}
 		}
 
-		recordDecisions(node, node.admission.processWaiters(now));
-		if (node.outstanding !== 0 && now - node.sentAt > timeoutMs) {
-			node.outstanding = 0;
+		recordDecisions(simulatedVm, simulatedVm.admission.processWaiters(now));
+		if (simulatedVm.outstandingReportId !== 0 && now - simulatedVm.sentAt > timeoutMs) {
+			simulatedVm.outstandingReportId = 0;
 		}
 
-		const kind = node.outstanding === 0 ? node.admission.getDueReportKind(now) : undefined;
+		const kind = simulatedVm.outstandingReportId === 0 ? simulatedVm.admission.getDueReportKind(now) : undefined;
 		if (kind !== undefined) {
-			sendReport(node, kind === 'partial');
+			sendReport(simulatedVm, kind === 'partial');
 		}
 	};
 
 	for (; now < options.durationMs; now += stepMs) {
 		deliverMessages();
-		for (const node of nodes) {
-			if (!options.isPaused?.(node.vm, now)) {
-				runStep(node);
+		for (const simulatedVm of simulatedVms) {
+			if (!options.isPaused?.(simulatedVm.vm, now)) {
+				runStep(simulatedVm);
 			}
 		}
 	}
@@ -149,7 +149,7 @@
 	return {admitted, ...result};
 }
 
-/** Returns the maximum over all windows of the admissions above burst plus rate times the window's length; must not be positive. */
+/** Returns by how many admissions the worst window exceeds burst plus rate times its length; positive if the limit was exceeded. */
 export function getMaxExcess(admitted: readonly Admission[], {rate, burst}: AccountLimits): number {
 	let maxExcess = Number.NEGATIVE_INFINITY;
 	// The excess of a window from i to j is f(j) - f(i) + 1 - burst, with f(i) = i - rate * at(i).
--- a/packages/decisions/src/tests/promotion/promotion-round.test.ts
+++ b/packages/decisions/src/tests/promotion/promotion-round.test.ts
@@ -14,7 +14,7 @@
 
 const names = ['a', 'b', 'c'];
 
-/** Model of a database group of three instances that meets the requirements on such groups. */
+/** Model of a database group of three instances, in which a write is acknowledged once the primary and a replica hold it. */
 class ModelGroup {
 	readonly instances: Instance[] = names.map((name, index) => ({
 		name, term: 1, promoter: 'initial', isPrimary: index === 0, log: [],
@@ -42,7 +42,7 @@
 		}
 
 		replica.log = [...primary.log];
-		// Copies of entries of older terms are not enough: an instance with entries of a later term could still be chosen over both.
+		// Writes of older terms count as acknowledged only together with one of this term: otherwise an instance with entries of a term in between could be chosen over both.
 		if (replica.log.at(-1)?.position.term !== replica.term) {
 			return;
 		}
@@ -93,7 +93,7 @@
 	return true;
 }
 
-const step: fc.Arbitrary<Step> = fc.oneof(
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
 	fc.record({kind: fc.constant('write' as const), at: fc.nat(2)}),
 	fc.record({kind: fc.constant('replicate' as const), to: fc.nat(2)}),
 	fc.record({
@@ -103,7 +103,7 @@
 
 test('a primary of a later term has every acknowledged write, whichever messages are lost', t => {
 	let promotions = 0;
-	fc.assert(fc.property(fc.array(step, {minLength: 10, maxLength: 60}), steps => {
+	fc.assert(fc.property(fc.array(stepArbitrary, {minLength: 10, maxLength: 60}), steps => {
 		const group = new ModelGroup();
 		for (const action of steps) {
 			if (action.kind === 'write') {
--- a/packages/decisions/src/tests/routing/read-router.test.ts
+++ b/packages/decisions/src/tests/routing/read-router.test.ts
@@ -3,13 +3,13 @@
 import {isAtLeast} from '@chicorysaddle/model';
 import {GroupState, type ReadRequirements, ReadRouter} from '../../index.js';
 
-const instance = fc.record({
+const instanceArbitrary = fc.record({
 	term: fc.integer({min: 1, max: 2}), offset: fc.nat(9), lagMs: fc.nat(3000), inUse: fc.nat(3), isReachable: fc.boolean(), isLeaving: fc.boolean(),
 });
 
 test('a read never goes to an instance that is leaving, unreachable, in an older term or too stale', t => {
 	let sent = 0;
-	fc.assert(fc.property(fc.array(instance, {minLength: 3, maxLength: 3}), fc.record({
+	fc.assert(fc.property(fc.array(instanceArbitrary, {minLength: 3, maxLength: 3}), fc.record({
 		position: fc.record({term: fc.integer({min: 1, max: 2}), offset: fc.nat(9)}), primaryOnly: fc.boolean(), maxStalenessMs: fc.constantFrom(0, 1000),
 	}), (instances, wanted) => {
 		const group = new GroupState('g');
--- a/packages/decisions/src/tests/sessions/session.test.ts
+++ b/packages/decisions/src/tests/sessions/session.test.ts
@@ -3,12 +3,12 @@
 import {comparePositions} from '@chicorysaddle/model';
 import {Session, type SessionWatermark} from '../../index.js';
 
-const watermarks = fc.array(fc.tuple(fc.constantFrom('a', 'b'), fc.record<SessionWatermark>({
+const watermarksArbitrary = fc.array(fc.tuple(fc.constantFrom('a', 'b'), fc.record<SessionWatermark>({
 	position: fc.record({term: fc.nat(3), offset: fc.nat(9)}), primaryOnly: fc.boolean(),
 })), {maxLength: 4});
 
 test('merging keeps the later position of each group, in either order', t => {
-	fc.assert(fc.property(watermarks, watermarks, (left, right) => {
+	fc.assert(fc.property(watermarksArbitrary, watermarksArbitrary, (left, right) => {
 		const leftFirst = new Session(left);
 		leftFirst.merge(new Session(right));
 		const rightFirst = new Session(right);
