--- a/packages/gateway/src/dispatch/dispatcher.ts
+++ b/packages/gateway/src/dispatch/dispatcher.ts
@@ -16,64 +16,64 @@
 	readonly request: PlacementRequest;
 	readonly excluded: Set<string>;
 	readonly queuedAt: number;
-	/** Pool that is opening a connection for it; another connection that becomes free first is used instead. */
+	/** Pool that is opening a connection for this request; a connection that becomes free earlier is used instead. */
 	openingPool: InstancePool | undefined;
 	readonly settle: (result: PlacementResult) => void;
 };
 
 type Candidate = {
 	readonly pool: InstancePool;
-	/** Absent when a connection has to be opened. */
+	/** Idle connection to use; undefined when one has to be opened. */
 	readonly idle: PooledConnection | undefined;
 	readonly isPrimary: boolean;
 };
 
-/** Interval between checks of the waiting requests for expired deadlines, milliseconds. */
-const sweepIntervalMs = 20;
+/** Interval between checks of the waiting requests for expired deadlines and unusable instances, in milliseconds. */
+const waiterCheckIntervalMs = 20;
 
-/** Cost of a new connection compared with an open one, milliseconds: the handshake time that a deployment states. */
+/** Cost of opening a connection instead of using an open one, in milliseconds: the handshake time that deployments state. */
 const openCostMs = 14;
 
-/** Cost of an instance in another availability zone, milliseconds: a round trip, and traffic that is billed. */
+/** Cost of an instance in another availability zone, in milliseconds: a round trip, and traffic that is billed. */
 const crossZoneCostMs = 4;
 
-/** Time that a request waits before it may evict an idle connection that other accounts still use, milliseconds: a few handshakes. */
+/** Time that a request waits before it may evict an idle connection that other waiting requests could use, in milliseconds: a few handshakes. */
 const evictionDelayMs = 60;
 
 /** Factor on the estimated latency of reads on a primary, because only the primary can take writes. */
 const primaryReadCostFactor = 1.5;
 
-/** Idle time after which a connection above the kept number is closed, milliseconds. */
+/** Idle time after which a connection beyond `keptIdleFraction` is closed, in milliseconds. */
 const idleConnectionTimeoutMs = 1000;
 
-/** Interval between checks for idle connections, milliseconds. */
-const trimIntervalMs = 500;
+/** Interval between checks for connections that were idle for too long, in milliseconds. */
+const idleCheckIntervalMs = 500;
 
-/** Fraction of a VM's connections that stay open while idle. An instance counts the connections of VMs that lost power until it detects the loss, and their successors need room. */
-const keptFraction = 0.5;
+/** Fraction of a VM's connection limit that may stay open while idle. The rest is left for the successors of VMs that lost power, whose connections an instance counts until it detects the loss. */
+const keptIdleFraction = 0.5;
 
-/** Time for which an instance still counts the connections of a VM that lost power, milliseconds. */
+/** Time for which an instance still counts the connections of a VM that lost power, in milliseconds. */
 const staleConnectionTimeoutMs = 3000;
 
-/** Fraction of its connections that a process opens while the instance may still count those of its predecessor: what VMs keep open while idle is not free. */
+/** Fraction of its connection limit that a new process uses while the instance may still count its predecessor's connections, which take up to `keptIdleFraction` even if they were idle. */
 const startupFraction = 0.2;
 
-/** Time after this VM lost the primary from which an answer to another VM proves a partition, milliseconds: longer than an answer takes. */
+/** Minimum time between the loss of the primary by this VM and an answer to another VM that proves a partition, in milliseconds: longer than an answer takes. */
 const partitionConfirmationMs = 200;
 
-/** Retry delay given to a caller that another VM can serve, milliseconds. */
+/** Retry delay given to a caller that another VM can serve, in milliseconds. */
 const partitionRetryMs = 20;
 
-/** Time for which statements wait for a missing term lease, milliseconds: several times what a new process needs to acquire one. */
+/** Maximum time for which statements wait for a missing term lease, in milliseconds: several times what a new process needs to acquire one. */
 const maxMissingLeaseMs = 400;
 
-/** Mean retry delay given to a caller of a VM without a term lease, milliseconds: the interval at which an unreachable store is polled. */
+/** Mean retry delay given to a caller of a VM without a term lease, in milliseconds: the interval at which an unreachable store is polled. */
 const missingLeaseRetryMs = 800;
 
-/** Retry delay given to a caller whose request expired in the queue, milliseconds. */
-const retryAfterMs = 200;
+/** Retry delay given to a caller whose request expired in the queue, in milliseconds. */
+const expiredRetryMs = 200;
 
-/** Longest time until a VM knows that an instance is draining, including the transit of its last statement, milliseconds. */
+/** Maximum time until a VM knows that an instance is draining, including the transit of its last statement, in milliseconds. */
 const drainPropagationMs = 2500;
 
 const queuePriorities: readonly Priority[] = ['high', 'high', 'normal'];
@@ -105,7 +105,7 @@
 	readonly #dispatchingGroups = new Map<string, boolean>();
 	#memberCount = 1;
 	readonly #startedAt: number;
-	#sweepTimer: NodeJS.Timeout | undefined;
+	#waiterCheckTimer: NodeJS.Timeout | undefined;
 
 	constructor(private readonly dependencies: DispatcherDependencies) {
 		this.#startedAt = dependencies.clock.now();
@@ -120,9 +120,9 @@
 		});
 		setInterval(() => {
 			for (const pool of this.#pools.values()) {
-				pool.closeIdle(Math.max(1, Math.floor(this.#getConnectionLimit(pool.instance) * keptFraction)), idleConnectionTimeoutMs);
+				pool.closeIdle(Math.max(1, Math.floor(this.#getConnectionLimit(pool.instance) * keptIdleFraction)), idleConnectionTimeoutMs);
 			}
-		}, trimIntervalMs).unref();
+		}, idleCheckIntervalMs).unref();
 	}
 
 	/** Sets the number of VMs that share the connections of an instance. */
@@ -130,6 +130,7 @@
 		this.#memberCount = Math.max(1, memberCount);
 	}
 
+	/** Returns the tracker of an instance, undefined if the instance is not registered. */
 	getTracker(instanceId: string): InstanceTracker | undefined {
 		return this.#pools.get(instanceId)?.tracker;
 	}
@@ -138,10 +139,11 @@
 	 * Formats the busy and open connections of each instance, and its last overload, for the log.
 	 * @param group - Group of the instances; all groups if absent.
 	 */
-	describePools(group?: string): string {
-		return [...this.#pools.values()].filter(({instance}) => group === undefined || instance.group === group).map(pool => pool.describe(this.dependencies.clock.now())).join(' ');
+	formatPoolUsage(group?: string): string {
+		return [...this.#pools.values()].filter(({instance}) => group === undefined || instance.group === group).map(pool => pool.formatUsage(this.dependencies.clock.now())).join(' ');
 	}
 
+	/** Counts the requests that wait for a connection. */
 	countWaiting(): number {
 		let count = 0;
 		for (const queue of this.#queues.values()) {
@@ -151,7 +153,7 @@
 		return count;
 	}
 
-	/** Waits for a connection; refuses the request when its deadline cannot be met. */
+	/** Waits for a connection; refuses the request when its deadline cannot be met or this VM cannot use the primary. */
 	async acquire(request: PlacementRequest): Promise<PlacementResult> {
 		return new Promise(resolve => {
 			const queuedAt = this.dependencies.clock.now();
@@ -192,7 +194,7 @@
 		placement.pool.release(placement.connection, isClean);
 	}
 
-	/** Returns the refusal of a request whose primary this VM cannot use for a while. */
+	/** Returns the refusal of a request whose primary this VM cannot use for a while, undefined if the request may wait. */
 	#checkPrimary(request: PlacementRequest): Refusal | undefined {
 		if (request.target === 'primary' && this.dependencies.terms.getMsWithoutLease() > maxMissingLeaseMs) {
 			return refusals.primaryUnavailable(request.group, missingLeaseRetryMs * (0.5 + this.dependencies.random()));
@@ -257,9 +259,9 @@
 		queue.addEntry({
 			account: request.account, priority: queuePriorities[request.priority] ?? 'low', weight: 1, deadline: request.deadline, value: waiter,
 		});
-		this.#sweepTimer ??= setTimeout(() => {
-			this.#refuseExpired();
-		}, sweepIntervalMs);
+		this.#waiterCheckTimer ??= setTimeout(() => {
+			this.#checkWaiters();
+		}, waiterCheckIntervalMs);
 	}
 
 	#dispatchAllGroups(): void {
@@ -327,12 +329,13 @@
 	}
 
 	#recordPlacement(request: PlacementRequest): void {
-		let left = -1;
+		// The placed request is still among the waiting ones and is not counted.
+		let remainingCount = -1;
 		for (const other of this.#waiters.get(request.group)!) {
-			left += other.request.target === request.target ? 1 : 0;
+			remainingCount += other.request.target === request.target ? 1 : 0;
 		}
 
-		this.#getEstimator(request).observePlaced(left, this.dependencies.clock.now());
+		this.#getEstimator(request).observePlaced(remainingCount, this.dependencies.clock.now());
 	}
 
 	#startOpening(waiter: Waiter, pool: InstancePool): void {
@@ -352,6 +355,7 @@
 		this.#dispatchGroup(waiter.request.group);
 	}
 
+	/** Chooses the instance with the lowest estimated cost; returns undefined when none can be used now. */
 	#chooseCandidate(waiter: Waiter, mayEvict: boolean): Candidate | undefined {
 		const {request, excluded} = waiter;
 		const now = this.dependencies.clock.now();
@@ -362,7 +366,7 @@
 		}
 
 		let best: Candidate | undefined;
-		let bestMs = Number.POSITIVE_INFINITY;
+		let bestCostMs = Number.POSITIVE_INFINITY;
 		for (const instance of this.dependencies.instances.getGroupInstances(request.group)) {
 			const pool = this.#pools.get(instance.id);
 			const isPrimary = instance.id === primaryId;
@@ -373,8 +377,8 @@
 			const candidate = this.#findCandidate(pool, waiter, mayEvict, isPrimary);
 			if (candidate !== undefined) {
 				const costMs = (pool.tracker.estimateLatencyMs(pool.busyCount, now) * (isPrimary ? primaryReadCostFactor : 1)) + (candidate.idle === undefined ? openCostMs : 0) + (instance.zone === this.dependencies.zone ? 0 : crossZoneCostMs);
-				if (costMs < bestMs) {
-					bestMs = costMs;
+				if (costMs < bestCostMs) {
+					bestCostMs = costMs;
 					best = candidate;
 				}
 			}
@@ -383,13 +387,13 @@
 		return best;
 	}
 
-	#findCandidate(pool: InstancePool, {request, openingPool: openingAt}: Waiter, mayEvict: boolean, isPrimary: boolean): Candidate | undefined {
+	#findCandidate(pool: InstancePool, {request, openingPool}: Waiter, mayEvict: boolean, isPrimary: boolean): Candidate | undefined {
 		if (pool.tracker.isSaturated()) {
 			return undefined;
 		}
 
 		const idle = pool.findIdle(request.account);
-		const isPossible = idle !== undefined || (openingAt === undefined && pool.canOpen(this.#getConnectionLimit(pool.instance), mayEvict));
+		const isPossible = idle !== undefined || (openingPool === undefined && pool.canOpen(this.#getConnectionLimit(pool.instance), mayEvict));
 		return isPossible ? {pool, idle, isPrimary} : undefined;
 	}
 
@@ -399,6 +403,7 @@
 		return since !== undefined && now - since > this.dependencies.getSettings().drainMs - drainPropagationMs;
 	}
 
+	/** Returns whether a read may be sent to an instance now. */
 	#isReadable(instance: Instance, pool: InstancePool, request: PlacementRequest, now: number): boolean {
 		if (instance.state === 'draining' || !pool.tracker.isUsable(now) || pool.tracker.getSilentSince(now) !== undefined) {
 			return false;
@@ -407,15 +412,16 @@
 		return this.dependencies.terms.isUsablePrimary(request.group, instance.id) || (request.requiredPosition !== undefined && pool.tracker.isLikelyCaughtUp(request.requiredPosition, now));
 	}
 
-	#refuseExpired(): void {
-		this.#sweepTimer = undefined;
+	/** Refuses the waiting requests whose deadline expired or whose primary is not usable, and dispatches the others. */
+	#checkWaiters(): void {
+		this.#waiterCheckTimer = undefined;
 		const now = this.dependencies.clock.now();
 		for (const [group, queue] of this.#queues) {
 			for (const {value: waiter} of queue.removeExpired(now)) {
 				this.dependencies.metrics.addCount('place_expired');
 				const {request} = waiter;
 				const isPrimaryMissing = request.target === 'primary' && this.dependencies.terms.getUsablePrimary(group) === undefined;
-				waiter.settle({kind: 'refused', refusal: isPrimaryMissing ? refusals.noPrimary(group) : refusals.overloaded(group, retryAfterMs)});
+				waiter.settle({kind: 'refused', refusal: isPrimaryMissing ? refusals.noPrimary(group) : refusals.overloaded(group, expiredRetryMs)});
 			}
 
 			for (const waiter of this.#waiters.get(group) ?? []) {
@@ -431,12 +437,13 @@
 		}
 
 		if (this.countWaiting() > 0) {
-			this.#sweepTimer ??= setTimeout(() => {
-				this.#refuseExpired();
-			}, sweepIntervalMs);
+			this.#waiterCheckTimer ??= setTimeout(() => {
+				this.#checkWaiters();
+			}, waiterCheckIntervalMs);
 		}
 	}
 
+	/** Returns the maximum number of connections of this VM to an instance. */
 	#getConnectionLimit(instance: Instance): number {
 		const total = this.dependencies.configuration.getGroup(instance.group)?.maxConnections ?? 1;
 		const isStartingUp = this.dependencies.clock.now() - this.#startedAt < staleConnectionTimeoutMs;
--- a/packages/gateway/src/dispatch/instance-pool.ts
+++ b/packages/gateway/src/dispatch/instance-pool.ts
@@ -4,7 +4,7 @@
 import {InstanceTracker} from './instance-tracker.js';
 import {PooledConnection} from './pooled-connection.js';
 
-/** Timeout for opening a connection, milliseconds: covers a handshake behind a full queue at a busy instance. */
+/** Timeout for opening a connection, in milliseconds: covers a handshake behind a full queue at a busy instance. */
 const connectTimeoutMs = 1500;
 
 /** Dependencies of a pool. */
@@ -23,7 +23,7 @@
 export class InstancePool {
 	readonly tracker: InstanceTracker;
 	readonly #connections = new Set<PooledConnection>();
-	#opening = 0;
+	#openingCount = 0;
 	#isClosed = false;
 
 	constructor(readonly instance: Instance, private readonly dependencies: InstancePoolDependencies) {
@@ -32,7 +32,7 @@
 
 	/** Number of connections in use or being opened. */
 	get busyCount(): number {
-		let count = this.#opening;
+		let count = this.#openingCount;
 		for (const connection of this.#connections) {
 			count += connection.isBusy ? 1 : 0;
 		}
@@ -41,21 +41,22 @@
 	}
 
 	/** Formats the busy and open connections and the reason of the last overload, for the log. */
-	describe(now: number): string {
+	formatUsage(now: number): string {
 		const overload = this.tracker.getOverloadReason(now);
 		return `${this.instance.id}:${this.busyCount}/${this.connectionCount}${overload === undefined ? '' : `:${overload}`}`;
 	}
 
 	/** Whether a connection is being opened. */
 	get isOpening(): boolean {
-		return this.#opening > 0;
+		return this.#openingCount > 0;
 	}
 
+	/** Number of connections that are open or being opened. */
 	get connectionCount(): number {
-		return this.#connections.size + this.#opening;
+		return this.#connections.size + this.#openingCount;
 	}
 
-	/** Returns the most recently used idle connection of an account. */
+	/** Finds the most recently used idle connection of an account; returns undefined if it has none. */
 	findIdle(account: string): PooledConnection | undefined {
 		let newest: PooledConnection | undefined;
 		for (const connection of this.#connections) {
@@ -69,7 +70,7 @@
 
 	/**
 	 * Returns whether a connection may be opened now.
-	 * @param limit - Largest number of connections of this VM to the instance.
+	 * @param limit - Maximum number of connections of this VM to the instance.
 	 * @param mayEvict - Whether an idle connection of another account may be closed for it.
 	 */
 	canOpen(limit: number, mayEvict: boolean): boolean {
@@ -83,7 +84,7 @@
 
 	/**
 	 * Opens a connection and leaves it idle.
-	 * @param limit - Largest number of connections of this VM to the instance; at the limit the one that is idle longest is closed first.
+	 * @param limit - Maximum number of connections of this VM to the instance; at the limit, the connection that has been idle for longest is closed first.
 	 * @returns The failure, undefined when the connection is open.
 	 */
 	async open(account: string, limit: number): Promise<ConnectFailure | undefined> {
@@ -93,12 +94,12 @@
 			evicted.instanceConnection.close();
 		}
 
-		this.#opening += 1;
+		this.#openingCount += 1;
 		const startedAt = this.dependencies.clock.now();
 		const pendingRequest = this.tracker.addPendingRequest('connection', startedAt);
 		const result = await this.dependencies.connector.open(this.instance, account, connectTimeoutMs);
 		this.tracker.removePendingRequest(pendingRequest);
-		this.#opening -= 1;
+		this.#openingCount -= 1;
 		const now = this.dependencies.clock.now();
 		if (result.kind === 'failed') {
 			this.#recordFailure(result.failure, startedAt, now);
@@ -145,14 +146,14 @@
 	}
 
 	/**
-	 * Closes connections that were idle for too long, down to a number.
-	 * @param kept - Number of connections that stay open.
-	 * @param idleMs - Idle time after which a connection may be closed, milliseconds.
+	 * Closes connections that were idle for too long.
+	 * @param keptCount - Minimum number of connections that stay open.
+	 * @param idleMs - Idle time after which a connection may be closed, in milliseconds.
 	 */
-	closeIdle(kept: number, idleMs: number): void {
+	closeIdle(keptCount: number, idleMs: number): void {
 		const now = this.dependencies.clock.now();
 		for (const connection of this.#connections) {
-			if (this.connectionCount > kept && !connection.isBusy && now - connection.lastUsedAt > idleMs) {
+			if (this.connectionCount > keptCount && !connection.isBusy && now - connection.lastUsedAt > idleMs) {
 				this.#remove(connection);
 				connection.instanceConnection.close();
 			}
@@ -170,7 +171,7 @@
 		}
 	}
 
-	/** Closes every connection at once. */
+	/** Closes every connection now, also those in use. */
 	abort(): void {
 		this.close();
 		for (const connection of this.#connections) {
@@ -178,6 +179,7 @@
 		}
 	}
 
+	/** Finds the idle connection that was used least recently. */
 	#findEvictable(): PooledConnection | undefined {
 		let oldest: PooledConnection | undefined;
 		for (const connection of this.#connections) {
--- a/packages/gateway/src/dispatch/instance-tracker.ts
+++ b/packages/gateway/src/dispatch/instance-tracker.ts
@@ -4,41 +4,41 @@
 import {type EventLog} from '../observability/index.js';
 import {type StatementOutcome} from '../statements/index.js';
 
-/** Service time that is assumed before the first measurement, milliseconds. */
+/** Service time that is assumed before the first measurement, in milliseconds. */
 const initialLatencyMs = 10;
 
 /** Weight of the newest measurement in the moving averages. */
 const smoothingFactor = 0.1;
 
-/** Half-life of the measured latency while an instance is not used, milliseconds. */
+/** Half-life of the measured latency while an instance is not used, in milliseconds. */
 const latencyHalfLifeMs = 2000;
 
-/** Time for which a replica that lacked a position is not asked for it again, milliseconds. */
+/** Time for which a replica that had not reached a position gets no reads that need it, in milliseconds. */
 const laggingBackoffMs = 150;
 
-/** Delay between two attempts to reach a failing instance, milliseconds. */
+/** Delay between two attempts to reach a failing instance, in milliseconds. */
 const failureBackoffMs = 150;
 
-/** Time for which an instance is not used after it answered that it is not the primary, milliseconds: the propagation time of a new term. */
+/** Time for which an instance is not used after it answered that it is not the primary, in milliseconds: the propagation time of a new term. */
 const notPrimaryBackoffMs = 50;
 
-/** Shortest backoff after an overload, milliseconds: about one service time. */
+/** Minimum backoff after an overload, in milliseconds: about one service time. */
 const minBackoffMs = 15;
 
-/** Longest backoff after an overload, milliseconds: all VMs together then send no more requests than an instance of a few slots serves. */
+/** Maximum backoff after an overload, in milliseconds: long enough that all VMs together send no more requests than an instance with a few slots serves. */
 const maxBackoffMs = 480;
 
-/** Time for which an overload is reported in the log, milliseconds: longer than the longest backoff. */
+/** Time for which an overload is reported in the log, in milliseconds: longer than the maximum backoff. */
 const overloadReportMs = 1000;
 
-/** Time without any answer after which an instance counts as silent, milliseconds: longer than a full queue ahead of the request takes. */
+/** Time without any answer after which an instance counts as silent, in milliseconds: longer than a full queue ahead of the request takes. */
 const silenceThresholdMs = 300;
 
 /** A request to an instance that was not answered yet. */
 export type PendingRequest = {
 	readonly kind: 'statement' | 'connection';
-	/** Monotonic time at which it was sent, milliseconds. */
-	readonly at: number;
+	/** Monotonic time, in milliseconds. */
+	readonly sentAt: number;
 };
 
 /** Tracks latency, log position, overload and failures of one instance as this VM observes them. */
@@ -47,24 +47,29 @@
 	#measuredAt = Number.NEGATIVE_INFINITY;
 	#position: LogPosition | undefined;
 	#lagging: {readonly position: LogPosition; readonly until: number} | undefined;
+	/** Moving average of the fraction of statements for which the instance lagged behind. */
 	#laggingRate = 0;
 	#answeredAt: number | undefined;
 	#failingSince: number | undefined;
 	#failedAt = Number.NEGATIVE_INFINITY;
+	/** Whether the last failure was a refused connection. */
 	#isRefused = false;
 	#backoffUntil = 0;
+	/** Exponent of the backoff: rises with each overload and falls with each completed statement. */
 	#overloadLevel = 0;
-	/** Oldest first. */
+	/** Requests that were not answered yet, oldest first. */
 	readonly #pendingRequests = new Set<PendingRequest>();
 	#overload: {readonly reason: 'busy' | 'connection-limit'; readonly at: number} | undefined;
 
 	/** @param random - Returns a random number in [0, 1). */
 	constructor(readonly instance: Instance, private readonly log: EventLog, private readonly random: () => number) {}
 
+	/** Monotonic time since which the instance cannot be reached or does not answer, in milliseconds; undefined while it does. */
 	get failingSince(): number | undefined {
 		return this.#failingSince;
 	}
 
+	/** Monotonic time of the last answer, in milliseconds; undefined before the first one. */
 	get answeredAt(): number | undefined {
 		return this.#answeredAt;
 	}
@@ -83,7 +88,7 @@
 	/** Records the outcome and the latency of a statement. */
 	recordOutcome(outcome: StatementOutcome, sentAt: number, now: number): void {
 		if (outcome.kind === 'broken') {
-			// A single closed connection does not show that the instance failed; opening the next one does.
+			// A single closed connection does not show that the instance failed; a failure to open the next one does.
 			if (outcome.reason === 'timeout') {
 				this.recordFailure('silent', sentAt, now);
 			}
@@ -113,7 +118,7 @@
 
 	/**
 	 * Records that the instance could not be reached or did not answer.
-	 * @param sentAt - Monotonic time at which the request was sent, milliseconds.
+	 * @param sentAt - Monotonic time at which the request was sent, in milliseconds.
 	 */
 	recordFailure(kind: 'refused' | 'silent', sentAt: number, now: number): void {
 		// An answer to another request after this one was sent shows that the instance is not silent.
@@ -140,14 +145,14 @@
 		this.#backoffUntil = Math.max(this.#backoffUntil, now + (backoffMs * (0.5 + this.random())));
 	}
 
-	/** Returns the reason of a recent overload. */
+	/** Returns the reason of the last overload, undefined if there was none recently. */
 	getOverloadReason(now: number): 'busy' | 'connection-limit' | undefined {
 		return this.#overload !== undefined && now - this.#overload.at < overloadReportMs ? this.#overload.reason : undefined;
 	}
 
 	/** Records that a request was sent; it has to be removed when its outcome is known. */
 	addPendingRequest(kind: PendingRequest['kind'], now: number): PendingRequest {
-		const request = {kind, at: now};
+		const request = {kind, sentAt: now};
 		this.#pendingRequests.add(request);
 		return request;
 	}
@@ -156,18 +161,18 @@
 		this.#pendingRequests.delete(request);
 	}
 
-	/** Returns the monotonic time since which the instance has answered nothing, milliseconds; undefined while it answers. */
+	/** Returns the monotonic time since which the instance has answered nothing, in milliseconds; undefined while it answers. */
 	getSilentSince(now: number): number | undefined {
-		for (const {at} of this.#pendingRequests) {
-			if (this.#answeredAt === undefined || at >= this.#answeredAt) {
-				return now - at >= silenceThresholdMs ? at : undefined;
+		for (const {sentAt} of this.#pendingRequests) {
+			if (this.#answeredAt === undefined || sentAt >= this.#answeredAt) {
+				return now - sentAt >= silenceThresholdMs ? sentAt : undefined;
 			}
 		}
 
 		return undefined;
 	}
 
-	/** Returns whether the instance is overloaded and has a statement of this VM to answer first. */
+	/** Returns whether the instance is overloaded and a statement of this VM still waits for its answer. */
 	isSaturated(): boolean {
 		return this.#overloadLevel > 1 && [...this.#pendingRequests].some(({kind}) => kind === 'statement');
 	}
@@ -187,9 +192,9 @@
 	}
 
 	/**
-	 * Estimates the latency of a statement, milliseconds.
+	 * Estimates the latency of a statement, in milliseconds.
 	 * @param inFlight - Statements of this VM in flight at the instance.
-	 * @param now - Monotonic time, milliseconds.
+	 * @param now - Monotonic time, in milliseconds.
 	 */
 	estimateLatencyMs(inFlight: number, now: number): number {
 		const idleMs = Math.max(0, now - this.#measuredAt);
--- a/packages/gateway/src/dispatch/placement.ts
+++ b/packages/gateway/src/dispatch/placement.ts
@@ -7,11 +7,11 @@
 	readonly group: string;
 	readonly account: string;
 	readonly target: 'primary' | 'any';
-	/** Log position that a replica must have reached. */
+	/** Log position that a replica must have reached; undefined when only the primary may be used. */
 	readonly requiredPosition: LogPosition | undefined;
-	/** Zero is the highest. */
+	/** Priority; zero is the highest. */
 	readonly priority: number;
-	/** Monotonic time until which a connection is of use, milliseconds. */
+	/** Monotonic time at which the request is refused if it still waits, in milliseconds. */
 	readonly deadline: number;
 	/** Ids of instances that must not be used. */
 	readonly excluded: ReadonlySet<string>;
--- a/packages/gateway/src/dispatch/pooled-connection.ts
+++ b/packages/gateway/src/dispatch/pooled-connection.ts
@@ -11,23 +11,28 @@
 /** A prepared statement as the caller defined it. */
 export type PreparedStatement = {
 	readonly access: PreparedAccess;
+	/** Definition of the statement, sent to instances unchanged. */
 	readonly shape: string;
 };
 
-/** Largest number of prepared statements on a connection; beyond it the connection is reset. */
-const maxPrepared = 100;
+/** Maximum number of prepared statements on a connection; one that has as many is reset before its next use. */
+const maxPreparedStatements = 100;
 
 /** A connection to an instance, with the session state that was applied to it. */
 export class PooledConnection {
+	/** Whether a statement or a transaction holds the connection. */
 	isBusy = false;
+	/** Monotonic time at which the connection was opened or last released, in milliseconds. */
 	lastUsedAt = 0;
+	/** Session whose values are applied. */
 	#valuesOwner: SessionValues | undefined;
 	#valuesVersion = 0;
+	/** Names of the prepared statements on this connection, by access and shape. */
 	readonly #prepared = new Map<string, string>();
 
 	constructor(readonly instanceConnection: InstanceConnection, readonly account: string) {}
 
-	/** Returns whether the values of a session are applied, so that no statement has to be sent for them. */
+	/** Returns whether the connection has the values of a session and no others. */
 	hasValuesOf(session: SessionValues): boolean {
 		return session.values.size === 0
 			? this.#valuesOwner === undefined
@@ -46,7 +51,7 @@
 	createPreparation(session: SessionValues, prepared: PreparedStatement | undefined): OutgoingStatement[] {
 		const statements: OutgoingStatement[] = [];
 		const hasOtherSession = this.#valuesOwner !== undefined && this.#valuesOwner !== session;
-		if (hasOtherSession || this.#prepared.size >= maxPrepared) {
+		if (hasOtherSession || this.#prepared.size >= maxPreparedStatements) {
 			statements.push({statement: {kind: 'control-reset'}});
 			this.#prepared.clear();
 			this.#valuesOwner = undefined;
@@ -70,7 +75,7 @@
 		return statements;
 	}
 
-	/** Forgets all prepared statements, after the instance answered that a name is unknown. */
+	/** Forgets all prepared statements, after the instance answered that it does not know one of them. */
 	clearPrepared(): void {
 		this.#prepared.clear();
 	}
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -7,25 +7,25 @@
 
 /** Timing of a graceful shutdown. */
 export type ShutdownTiming = {
-	/** Time from the signal to the forced exit, milliseconds. */
+	/** Time from the signal to the forced exit, in milliseconds. */
 	readonly graceMs: number;
-	/** Time until the load balancer stops sending new connections here, milliseconds. */
+	/** Time until the load balancer stops sending new connections here, in milliseconds. */
 	readonly rotationMs: number;
 };
 
-/** Retry delay sent to callers refused during startup or shutdown, milliseconds; short, as other VMs accept them immediately. */
+/** Retry delay sent to callers refused during startup or shutdown, in milliseconds: short, because other VMs accept them at once. */
 const retryAfterMs = 50;
 
-/** Poll interval of the shutdown, milliseconds. */
+/** Interval between checks of the progress of a shutdown, in milliseconds. */
 const drainPollMs = 25;
 
-/** Interval of `summary` events, milliseconds. */
+/** Interval of `summary` events, in milliseconds. */
 const summaryIntervalMs = 2000;
 
-/** Delay from start to the loading of the histograms, milliseconds; waiting callers of a restarted VM are served by then. */
+/** Delay from the start to the loading of the histograms, in milliseconds: by then the callers that waited for a restarted VM are served. */
 const histogramDelayMs = 5000;
 
-/** Time reserved at the end of the grace period to leave the cluster and exit, milliseconds. */
+/** Time reserved at the end of the grace period to leave the cluster and exit, in milliseconds. */
 const exitReserveMs = 500;
 
 /** Phase of a shutdown; it determines whether sessions are accepted. */
@@ -68,7 +68,7 @@
 		setInterval(() => {
 			const {metrics, dispatcher, log} = this.dependencies;
 			log.logEvent('summary', {
-				gains: metrics.takeCounterIncreases(), sessions: this.#sessions.size, waiting: dispatcher.countWaiting(), connections: dispatcher.describePools(),
+				gains: metrics.takeCounterIncreases(), sessions: this.#sessions.size, waiting: dispatcher.countWaiting(), connections: dispatcher.formatPoolUsage(),
 			});
 		}, summaryIntervalMs).unref();
 	}
@@ -105,7 +105,10 @@
 		return this.dependencies.configuration.version === 0 ? refusals.overloaded(database, retryAfterMs) : undefined;
 	}
 
-	/** Shuts down gracefully: after `rotationMs`, sessions are closed as they become idle; after half of the grace period, open transactions are aborted and statements refused. */
+	/**
+	 * Shuts down gracefully. After `rotationMs`, sessions are closed as they become idle.
+	 * After half of the grace period, open transactions are rolled back and statements refused.
+	 */
 	async drain(timing: ShutdownTiming): Promise<void> {
 		const startedAt = this.dependencies.clock.now();
 		this.#drain.phase = 'leaving-rotation';
--- a/packages/gateway/src/observability/event-log.ts
+++ b/packages/gateway/src/observability/event-log.ts
@@ -7,16 +7,17 @@
 /** Destination of log lines. */
 export type LogOutput = {
 	write(text: string): unknown;
-	/** Bytes buffered for the reader. */
+	/** Number of bytes that the reader has not taken yet. */
 	readonly writableLength: number;
 };
 
-/** Maximum lines per second by importance; further lines are dropped and counted. */
+/** Maximum number of lines per second by importance; further lines are dropped and counted. */
 const maxLinesPerSecond: Readonly<Record<EventImportance, number>> = {state: 200, refusal: 20, success: 2};
 
-/** Maximum bytes buffered for a slow reader of the output; while more are buffered, lines are dropped. */
+/** Maximum number of bytes buffered for a slow reader of the output; while more are buffered, lines are dropped. */
 const maxBufferedBytes = 262_144;
 
+/** Window over which lines are counted for the rate limits, in milliseconds. */
 const rateWindowMs = 1000;
 
 /** Writes events as JSON lines, with bounded rate and memory. */
--- a/packages/gateway/src/observability/gateway-metrics.ts
+++ b/packages/gateway/src/observability/gateway-metrics.ts
@@ -4,11 +4,12 @@
 export type DurationName = 'statement' | 'place' | 'connect' | 'instance' | 'lease';
 
 const durationNames: readonly DurationName[] = ['statement', 'place', 'connect', 'instance', 'lease'];
-const quantiles = [50, 90, 99, 99.9] as const;
+const percentiles = [50, 90, 99, 99.9] as const;
 const microsecondsPerMs = 1000;
+/** Maximum duration that is recorded, in microseconds; a longer one is recorded as this. */
 const maxDurationUs = 60_000_000;
 
-/** Maximum durations buffered until the histograms are loaded. */
+/** Maximum number of durations buffered until the histograms are loaded. */
 const maxPendingDurations = 5000;
 
 /** Counters, gauges and duration histograms of a gateway. */
@@ -19,10 +20,12 @@
 	readonly #gauges = new Map<string, () => number>();
 	readonly #histograms = new Map<DurationName, Histogram>();
 
+	/** Increments a counter, which is created by its first increment. */
 	addCount(name: string): void {
 		this.#counters.set(name, (this.#counters.get(name) ?? 0) + 1);
 	}
 
+	/** Returns the value of a counter, zero if it was never incremented. */
 	getCount(name: string): number {
 		return this.#counters.get(name) ?? 0;
 	}
@@ -46,7 +49,10 @@
 		this.#gauges.set(name, read);
 	}
 
-	/** Records a duration in milliseconds; drops it if the histograms are not loaded and the buffer is full. */
+	/**
+	 * Records a duration; drops it if the histograms are not loaded and the buffer is full.
+	 * @param ms - Duration, in milliseconds.
+	 */
 	recordDuration(duration: DurationName, ms: number): void {
 		const value = Math.min(maxDurationUs, Math.max(1, Math.round(ms * microsecondsPerMs)));
 		const histogram = this.#histograms.get(duration);
@@ -57,7 +63,7 @@
 		}
 	}
 
-	/** Creates the histograms. Their library is slow to load, so this is deferred until after startup, when callers of a restarted VM are waiting. */
+	/** Loads the histogram library and creates the histograms. The library is slow to load, so it is not loaded during startup, when the callers of a restarted VM are waiting. */
 	async loadHistograms(): Promise<void> {
 		const {build} = await import('./histogram-library.js');
 		for (const duration of durationNames) {
@@ -82,7 +88,7 @@
 			const histogram = this.#histograms.get(duration);
 			if (histogram !== undefined && histogram.totalCount > 0) {
 				lines.push(
-					...quantiles.map(quantile => `chicorysaddle_duration_ms{step="${duration}",quantile="${quantile / 100}"} ${histogram.getValueAtPercentile(quantile) / microsecondsPerMs}`),
+					...percentiles.map(percentile => `chicorysaddle_duration_ms{step="${duration}",quantile="${percentile / 100}"} ${histogram.getValueAtPercentile(percentile) / microsecondsPerMs}`),
 					`chicorysaddle_duration_ms_count{step="${duration}"} ${histogram.totalCount}`,
 				);
 			}
--- a/packages/gateway/src/ports/adjustable-settings.ts
+++ b/packages/gateway/src/ports/adjustable-settings.ts
@@ -1,8 +1,8 @@
 /** Settings that can change while the process runs. */
 export type AdjustableSettings = {
-	/** Time for which a draining instance still accepts new statements, milliseconds. */
+	/** Time for which a draining instance still accepts new statements, in milliseconds. */
 	readonly drainMs: number;
-	/** Sliding window over which client account limits are enforced, milliseconds. */
+	/** Sliding window over which client account limits are enforced, in milliseconds. */
 	readonly limitWindowMs: number;
 	/** Capacity of this VM relative to the largest VMs, from 0 to 1. */
 	readonly capacity: number;
--- a/packages/gateway/src/ports/clock.ts
+++ b/packages/gateway/src/ports/clock.ts
@@ -1,7 +1,7 @@
 /** Clocks of a VM: a monotonic clock, and wall-clock time, which can jump. */
 export type Clock = {
-	/** Returns monotonic time, milliseconds. */
+	/** Returns monotonic time, in milliseconds. */
 	now(): number;
-	/** Returns Unix time, milliseconds. */
+	/** Returns Unix time, in milliseconds. */
 	getWallTime(): number;
 };
--- a/packages/gateway/src/ports/coordination-store.ts
+++ b/packages/gateway/src/ports/coordination-store.ts
@@ -18,7 +18,10 @@
 
 /** Reason why a store call failed. */
 export type StoreFailure = {
-	/** `busy` and `refused` mean that the call had no effect; `lost` means that it may have had one. */
+	/**
+	 * `busy` and `refused` mean that the call had no effect; `lost` means that it may have had one.
+	 * `history-gone` means that the store no longer has the changes after a version; `invalid` means an unexpected response.
+	 */
 	readonly reason: 'busy' | 'refused' | 'lost' | 'history-gone' | 'invalid';
 	readonly message: string;
 };
@@ -28,8 +31,9 @@
 
 /** Result of a conditional write. */
 export type WriteResult = {
+	/** Whether all rows were at their expected versions, so that they were written. */
 	readonly isApplied: boolean;
-	/** Version of the written rows, if the write was applied. */
+	/** Version of the written rows, zero if the write was not applied. */
 	readonly version: number;
 };
 
@@ -37,7 +41,9 @@
 export type CoordinationStore = {
 	/** Reads a consistent snapshot of all shared rows. */
 	readSharedRows(timeoutMs: number): Promise<StoreResult<readonly SharedRow[]>>;
+	/** Applies all writes, or none when a row is not at its expected version. */
 	writeSharedRows(writes: readonly SharedRowWrite[], timeoutMs: number): Promise<StoreResult<WriteResult>>;
+	/** Reads the registered instances. */
 	readInstances(timeoutMs: number): Promise<StoreResult<readonly Instance[]>>;
 	/** Reads the latest configuration and the store version of that read. */
 	readConfiguration(timeoutMs: number): Promise<StoreResult<VersionedConfiguration>>;
--- a/packages/gateway/src/ports/instance-connector.ts
+++ b/packages/gateway/src/ports/instance-connector.ts
@@ -8,12 +8,12 @@
 export type InstanceConnection = {
 	readonly isOpen: boolean;
 	/**
-	 * Pipelines statements and waits for all responses.
+	 * Pipelines statements and waits for all outcomes.
 	 * @param statements - Statements, in order.
 	 * @param timeoutMs - Timeout of the whole batch; the connection is closed when it expires.
 	 */
 	run(statements: readonly OutgoingStatement[], timeoutMs: number): Promise<StatementOutcome[]>;
-	/** Parses the response to `control-status`. */
+	/** Parses the answer to `control-status`; returns undefined when it failed or is malformed. */
 	parseStatus(outcome: StatementOutcome): InstanceStatus | undefined;
 	onClosed(listener: () => void): void;
 	close(): void;
@@ -33,7 +33,7 @@
 /** Opens connections to instances. */
 export type InstanceConnector = {
 	/**
-	 * Opens a connection and identifies the account.
+	 * Opens a connection for an account.
 	 * @param account - Account name sent to the instance; never a key.
 	 */
 	open(instance: Instance, account: string, timeoutMs: number): Promise<ConnectResult>;
--- a/packages/gateway/src/ports/peer-network.ts
+++ b/packages/gateway/src/ports/peer-network.ts
@@ -25,6 +25,6 @@
 export type PeerNetwork = {
 	/** Connects to a VM; messages can be sent before the link is open. */
 	connect(address: string, handlers: PeerHandlers): PeerLink;
-	/** Accepts connections; `accept` returns the handlers for each link. */
+	/** Accepts connections on an address; `accept` is called with each link and returns its handlers. */
 	listen(address: string, accept: (link: PeerLink) => PeerHandlers): Promise<PeerServer>;
 };
--- a/packages/gateway/src/ports/promotion-service.ts
+++ b/packages/gateway/src/ports/promotion-service.ts
@@ -13,5 +13,6 @@
 
 /** Platform API that promotes an instance to primary of its group. */
 export type PromotionService = {
+	/** Requests a promotion; `accepted` means that it was started, not that it has ended. */
 	promote(request: PromotionRequest, timeoutMs: number): Promise<PromotionResult>;
 };
--- a/packages/gateway/src/sessions/autocommit-runner.ts
+++ b/packages/gateway/src/sessions/autocommit-runner.ts
@@ -7,19 +7,20 @@
 
 /** Result of an operation for its caller. */
 export type OperationOutcome =
+	/** The operation was run; `isCommit` tells whether it committed a write. */
 	| {readonly kind: 'completed'; readonly rows: readonly string[]; readonly signature: string; readonly position: LogPosition | undefined; readonly isCommit: boolean}
 	| {readonly kind: 'refused'; readonly refusal: Refusal};
 
-/** Largest number of attempts to run a statement before it is refused. */
+/** Maximum number of attempts to run a statement before it is refused. */
 const maxAttempts = 6;
 
-/** Fraction of a route's timeout for which a statement may wait for a connection; the rest is left for running it. */
+/** Maximum fraction of a route's timeout for which a statement waits for a connection; the rest is left for running it. */
 const maxWaitFraction = 0.7;
 
-/** Retry delay given to a caller whose statement no instance accepted, milliseconds. */
+/** Retry delay given to a caller whose statement no instance accepted, in milliseconds. */
 const retryAfterMs = 200;
 
-/** Interval between checks whether the instance of a read is silent, milliseconds. */
+/** Interval between checks of whether the instance of a read is silent, in milliseconds. */
 const silenceCheckIntervalMs = 50;
 
 /** One attempt to run a statement on an instance. */
@@ -28,10 +29,11 @@
 	readonly request: StatementRequest;
 	readonly prepared: PreparedStatement | undefined;
 	readonly isWrite: boolean;
-	readonly number: number;
+	/** Zero for the first attempt. */
+	readonly index: number;
 	/** Ids of instances that must not be used. */
 	readonly excluded: Set<string>;
-	/** Set once a connection was acquired. */
+	/** Undefined until a connection is acquired. */
 	placement: Placement | undefined;
 };
 
@@ -46,9 +48,9 @@
 		const {route, startedAt} = operation;
 		const deadline = startedAt + route.statementTimeoutMs;
 		const unanswered = new Set<Promise<OperationOutcome | undefined>>();
-		for (let number = 0; number < maxAttempts && this.dependencies.clock.now() < deadline; number++) {
+		for (let index = 0; index < maxAttempts && this.dependencies.clock.now() < deadline; index++) {
 			const attempt: Attempt = {
-				operation, request, prepared, isWrite, number, excluded, placement: undefined,
+				operation, request, prepared, isWrite, index, excluded, placement: undefined,
 			};
 			const running = this.#runAttempt(attempt);
 			const outcome = await (isWrite ? running : this.#waitForOutcome(attempt, running, unanswered));
@@ -64,10 +66,10 @@
 			}
 		}
 
-		return await getFirstOutcome(unanswered) ?? {kind: 'refused', refusal: refusals.overloaded(route.group, retryAfterMs)};
+		return await waitForFirstOutcome(unanswered) ?? {kind: 'refused', refusal: refusals.overloaded(route.group, retryAfterMs)};
 	}
 
-	/** Waits for the outcome of a read attempt or of an earlier unanswered one; returns `doubtful` when the instance falls silent first. */
+	/** Waits for the outcome of a read attempt or of an earlier unanswered one; returns `doubtful` when the instance of this attempt becomes silent first. */
 	async #waitForOutcome(attempt: Attempt, running: Promise<OperationOutcome | undefined>, unanswered: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | 'doubtful' | undefined> {
 		return new Promise((resolve, reject) => {
 			const timer = setInterval(() => {
@@ -98,7 +100,7 @@
 
 	/** Runs the statement on one instance; returns undefined when it may be retried. */
 	async #runAttempt(attempt: Attempt): Promise<OperationOutcome | undefined> {
-		const {operation, request, prepared, isWrite, number, excluded} = attempt;
+		const {operation, request, prepared, isWrite, index, excluded} = attempt;
 		const {route, startedAt} = operation;
 		const deadline = startedAt + route.statementTimeoutMs;
 		const requiredPosition = isWrite ? undefined : getRequiredPosition(operation, this.dependencies.terms);
@@ -118,7 +120,7 @@
 		const outcome = await this.#resolveOutcome(operation, placement, result, isWrite);
 		if (outcome === undefined) {
 			this.dependencies.log.logEvent('statement.retried', {
-				request: request.id, group: route.group, instance: placement.pool.instance.id, attempt: number, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
+				request: request.id, group: route.group, instance: placement.pool.instance.id, attempt: index, result: result.kind, reason: 'reason' in result ? result.reason : undefined,
 				isPrimary: placement.isPrimary, since: requiredPosition === undefined ? undefined : `${requiredPosition.term}.${requiredPosition.offset}`, waitedMs: Math.round(this.dependencies.clock.now() - startedAt),
 			});
 			if (!placement.isPrimary || result.kind === 'lost') {
@@ -156,8 +158,8 @@
 	return reason === 'timeout' ? refusals.statementTimeout(operation.route.statementTimeoutMs) : refusals.outcomeUnknown('the instance closed the connection');
 }
 
-/** Returns the first outcome of several attempts, undefined when none has one. */
-async function getFirstOutcome(attempts: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | undefined> {
+/** Waits for the first outcome of several attempts; returns undefined when none has one. */
+async function waitForFirstOutcome(attempts: ReadonlySet<Promise<OperationOutcome | undefined>>): Promise<OperationOutcome | undefined> {
 	if (attempts.size === 0) {
 		return undefined;
 	}
--- a/packages/gateway/src/sessions/caller-session.ts
+++ b/packages/gateway/src/sessions/caller-session.ts
@@ -11,12 +11,13 @@
 
 type StatementHandler = (request: StatementRequest, startedAt: number) => Promise<void> | void;
 
-/** Largest number of statements of a caller that wait behind the running one. */
+/** Maximum number of statements of a caller that wait behind the running one. */
 const maxWaitingStatements = 64;
 
-/** Idle time after which a closing session is closed, milliseconds: longer than callers take between two consecutive statements. */
+/** Idle time after which a closing session is closed, in milliseconds: longer than callers take between two consecutive statements. */
 const idleBeforeCloseMs = 80;
 
+/** Kinds of statements that are not refused after a statement of the transaction failed. */
 const acceptedInFailedTransaction: ReadonlySet<StatementKind> = new Set(['commit', 'roll-back']);
 
 /** The session of one caller, which lasts as long as its connection. */
@@ -29,12 +30,14 @@
 	readonly #runner: StatementRunner;
 	#state: SessionState = 'idle';
 	#transaction: Transaction | undefined;
-	#transactionTimer: NodeJS.Timeout | undefined;
+	#transactionIdleTimer: NodeJS.Timeout | undefined;
 	#lastCommit: LogPosition | undefined;
 	#closeTimer: NodeJS.Timeout | undefined;
 	#isRunning = false;
 	#isClosed = false;
+	/** Whether the session is closed as soon as it stays idle. */
 	#isClosing = false;
+	/** Refusal of all further statements, once they are refused. */
 	#closingRefusal: Refusal | undefined;
 
 	readonly #handlers: Readonly<Record<StatementKind, StatementHandler>> = {
@@ -117,7 +120,7 @@
 		this.#closeIfIdle();
 	}
 
-	/** Closes the session after the running operation, or else after the next one. */
+	/** Closes the session after the running operation, or after the next one if none runs. */
 	closeAfterOperation(): void {
 		this.#isClosing = true;
 	}
@@ -146,7 +149,7 @@
 		if (!this.#isClosed) {
 			this.#isClosed = true;
 			this.#waiting.length = 0;
-			clearTimeout(this.#transactionTimer);
+			clearTimeout(this.#transactionIdleTimer);
 			this.#transaction?.rollBack();
 			this.#transaction = undefined;
 			this.onEnded();
@@ -156,13 +159,13 @@
 	async #runWaiting(): Promise<void> {
 		this.#isRunning = true;
 		for (let next = this.#waiting.shift(); next !== undefined && !this.#isClosed; next = this.#waiting.shift()) {
-			clearTimeout(this.#transactionTimer);
+			clearTimeout(this.#transactionIdleTimer);
 			await this.#runHandler(next.request, next.receivedAt);
 			this.dependencies.metrics.recordDuration('statement', this.dependencies.clock.now() - next.receivedAt);
 		}
 
 		this.#isRunning = false;
-		this.#startIdleTimer();
+		this.#startTransactionIdleTimer();
 		this.#closeIfIdle();
 	}
 
@@ -348,6 +351,7 @@
 		};
 	}
 
+	/** Acquires an operation from the rate limit of an account, if it has one; returns the time after which to retry, in milliseconds, zero if the operation is admitted. */
 	async #acquireOperation(account: string): Promise<number> {
 		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.acquireOperation(account);
 	}
@@ -359,7 +363,7 @@
 		}
 	}
 
-	/** Returns a refusal if the key of an open transaction is no longer valid. */
+	/** Returns a refusal if statements of an open transaction are refused or its key is no longer valid. */
 	#checkAccess(operation: Operation): Refusal | undefined {
 		if (this.#closingRefusal !== undefined) {
 			return this.#closingRefusal;
@@ -382,13 +386,13 @@
 		this.#state = 'failed-transaction';
 	}
 
-	#startIdleTimer(): void {
+	#startTransactionIdleTimer(): void {
 		const idleMs = this.dependencies.configuration.configuration?.transactionIdleMs;
 		if (this.#transaction === undefined || idleMs === undefined) {
 			return;
 		}
 
-		this.#transactionTimer = setTimeout(() => {
+		this.#transactionIdleTimer = setTimeout(() => {
 			this.dependencies.metrics.addCount('transaction_idle');
 			this.#failTransaction();
 		}, idleMs);
@@ -411,19 +415,21 @@
 		}
 	}
 
+	/** Answers a statement that the gateway handles itself. */
 	#acknowledge(): void {
 		if (!this.#isClosed) {
 			this.caller.sendAnswer({result: {kind: 'completed', rows: [], signature: undefined}, state: this.#state, position: undefined});
 		}
 	}
 
+	/** @param isFinal - Whether to close the session after the refusal. */
 	#refuse(request: StatementRequest, refusal: Refusal, isFinal = false): void {
 		this.dependencies.metrics.addCount(`refused_${refusal.kind}`);
 		this.dependencies.log.logEvent('statement.refused', {
 			connection: this.identity.connectionId, request: request.id, database: this.identity.database, group: this.#getGroup(),
 			statement: request.statement.kind, kind: refusal.kind, why: refusal.message,
 			ran: refusal.details.ran, retryAfterMs: refusal.retryAfterMs, state: this.#state,
-			places: refusal.kind === 'overloaded' ? this.dependencies.dispatcher.describePools(this.#getGroup()) : undefined, configuration: this.dependencies.configuration.version,
+			places: refusal.kind === 'overloaded' ? this.dependencies.dispatcher.formatPoolUsage(this.#getGroup()) : undefined, configuration: this.dependencies.configuration.version,
 		});
 		if (!this.#isClosed) {
 			this.caller.sendAnswer({result: {kind: 'refused', refusal}, state: this.#state, position: undefined});
--- a/packages/gateway/src/sessions/operation.ts
+++ b/packages/gateway/src/sessions/operation.ts
@@ -5,37 +5,35 @@
 
 /** One statement outside a transaction, or one transaction. */
 export type Operation = {
+	/** Id of its first statement. */
 	readonly id: string;
 	readonly route: DatabaseRoute;
 	/** Account name that is sent to instances. */
 	readonly account: string;
-	/** Monotonic time at which its first byte arrived, milliseconds. */
+	/** Monotonic time at which its first statement arrived, in milliseconds. */
 	readonly startedAt: number;
 	readonly session: SessionValues;
-	/** Log position of the session's newest commit. */
+	/** Log position of the session's newest commit, undefined before the first one. */
 	readonly lastCommit: LogPosition | undefined;
 	/** Whether an instance may have run any of it. */
 	mayHaveRun: boolean;
 };
 
-/** An admitted operation, or the refusal of the request. */
+/** An admitted operation, or the refusal of the request; a final refusal closes the session. */
 export type AdmissionResult = {readonly kind: 'begun'; readonly operation: Operation} | {readonly kind: 'refused'; readonly refusal: Refusal; readonly isFinal: boolean};
 
 /** Account name of callers without an account on routes that allow anonymous access. */
 export const anonymousAccount = 'anonymous';
 
-/** Part of a route's staleness bound that is reserved for the transit to the instance, milliseconds. */
+/** Part of a route's staleness bound that is reserved for the transit to the instance, in milliseconds. */
 const stalenessMarginMs = 20;
 
-/** Returns the account name of an operation, undefined when the key does not grant access to the route. */
+/** Chooses the account name of an operation; returns undefined when the key does not grant access to the route. */
 export function chooseAccountName(route: DatabaseRoute, account: ClientAccount | undefined): string | undefined {
 	return account?.name ?? (route.allowsAnonymous ? anonymousAccount : undefined);
 }
 
-/**
- * Returns the log position that a replica must have reached to serve an operation's reads.
- * @returns The position, or undefined when only the primary may serve them.
- */
+/** Returns the log position that a replica must have reached to serve an operation's reads, undefined when only the primary may serve them. */
 export function getRequiredPosition({route, startedAt, lastCommit}: Operation, terms: TermRegistry): LogPosition | undefined {
 	if (route.consistency === 'primary') {
 		return undefined;
--- a/packages/gateway/src/sessions/session-dependencies.ts
+++ b/packages/gateway/src/sessions/session-dependencies.ts
@@ -18,7 +18,9 @@
 
 /** Identity that a caller presented when it opened its session. */
 export type SessionIdentity = {
+	/** Id of the connection in the log. */
 	readonly connectionId: string;
 	readonly database: string;
+	/** Digest of the caller's API key. */
 	readonly keyDigest: string;
 };
--- a/packages/gateway/src/sessions/statement-runner.ts
+++ b/packages/gateway/src/sessions/statement-runner.ts
@@ -15,12 +15,13 @@
 	| {readonly kind: 'not-run'; readonly reason: InstanceErrorKind | 'preparation-failed' | 'lease-ended'; readonly state: SessionState}
 	/** The statement ran and failed; `state` is what the instance answered. */
 	| {readonly kind: 'failed'; readonly refusal: Refusal; readonly state: SessionState}
-	/** There was no complete answer. */
+	/** There was no complete answer, so the statement may have run. */
 	| {readonly kind: 'lost'; readonly reason: 'closed' | 'timeout'};
 
-/** Timeout for applying a session's values, milliseconds: they need no slot of the instance. */
+/** Timeout for applying a session's values and prepared statement, in milliseconds: these statements need no slot of the instance. */
 const preparationTimeoutMs = 500;
 
+/** Creates the refusal for an error; undefined for errors that mean that the statement did not run. */
 const refusalsByError: Readonly<Record<InstanceErrorKind, (message: string, timeoutMs: number) => Refusal | undefined>> = {
 	aborted: () => undefined,
 	busy: () => undefined,
@@ -42,10 +43,10 @@
 	/**
 	 * Runs a statement of a caller.
 	 * @param prepared - Prepared statement that it executes, if any.
-	 * @param deadline - Monotonic time until which the answer is awaited, milliseconds.
+	 * @param deadline - Monotonic time until which the answer is awaited, in milliseconds.
 	 */
 	async run(placement: Placement, operation: Operation, outgoing: OutgoingStatement, prepared: PreparedStatement | undefined, deadline: number): Promise<RunResult> {
-		const isPrepared = await this.#prepare(placement, operation, prepared);
+		const isPrepared = await this.#applyPreparation(placement, operation, prepared);
 		if (!isPrepared) {
 			return {kind: 'not-run', reason: 'preparation-failed', state: 'idle'};
 		}
@@ -66,7 +67,7 @@
 		const [outcome] = await connection.instanceConnection.run([this.#resolvePreparedName(placement, outgoing, prepared)], Math.max(1, deadline - sentAt));
 		pool.tracker.removePendingRequest(pendingRequest);
 		if (canCommit) {
-			// The write has to stay open until the continuation that passes on the outcome has run.
+			// The write ends only after the continuation that passes on its outcome has run.
 			setImmediate(() => {
 				terms.endWrite(operation.route.group);
 			});
@@ -85,7 +86,8 @@
 		return result;
 	}
 
-	async #prepare(placement: Placement, operation: Operation, prepared: PreparedStatement | undefined): Promise<boolean> {
+	/** Applies the session's values and the prepared statement to the connection; returns whether all statements for it succeeded. */
+	async #applyPreparation(placement: Placement, operation: Operation, prepared: PreparedStatement | undefined): Promise<boolean> {
 		const preparation = placement.connection.createPreparation(operation.session, prepared);
 		if (preparation.length === 0) {
 			return true;
--- a/packages/gateway/src/sessions/transaction.ts
+++ b/packages/gateway/src/sessions/transaction.ts
@@ -6,19 +6,19 @@
 import {createLostAnswerRefusal, type OperationOutcome} from './autocommit-runner.js';
 import {isWriteStatement, type RunResult, type StatementRunner} from './statement-runner.js';
 
-/** Largest number of attempts to begin a transaction before it is refused. */
+/** Maximum number of attempts to begin a transaction before it is refused. */
 const maxAttempts = 6;
 
-/** Largest number of retries of a statement while the transaction's instance is busy. */
+/** Maximum number of retries of a statement while the transaction's instance is busy. */
 const maxBusyRetries = 4;
 
-/** Delay before a statement is retried, milliseconds: about one service time. */
+/** Delay before a statement is retried, in milliseconds: about one service time. */
 const busyRetryDelayMs = 15;
 
-/** Fraction of a route's timeout for which a transaction may wait for a connection. */
+/** Maximum fraction of a route's timeout for which a transaction waits for a connection; the rest is left for running its statement. */
 const maxWaitFraction = 0.7;
 
-/** Timeout for a rollback, milliseconds: it needs no slot of the instance. */
+/** Timeout for a rollback, in milliseconds: it needs no slot of the instance. */
 const rollBackTimeoutMs = 500;
 
 /** Outcome of a statement in a transaction, with whether the transaction is still open. */
@@ -64,7 +64,7 @@
 		}
 	}
 
-	/** Rolls the transaction back, once a running statement has ended. */
+	/** Rolls the transaction back, after the running statement if there is one. */
 	rollBack(): void {
 		this.#isEnded = true;
 		if (!this.#isRunning) {
@@ -163,10 +163,10 @@
 		}
 
 		this.#release(false);
-		return {outcome: {kind: 'refused', refusal: this.#describeFailedCommit(result)}, isOpen: false};
+		return {outcome: {kind: 'refused', refusal: this.#createCommitRefusal(result)}, isOpen: false};
 	}
 
-	#describeFailedCommit(result: Exclude<RunResult, {kind: 'completed'}>): Refusal {
+	#createCommitRefusal(result: Exclude<RunResult, {kind: 'completed'}>): Refusal {
 		if (result.kind === 'not-run') {
 			return refusals.transactionAborted(result.reason);
 		}
@@ -202,7 +202,7 @@
 	}
 }
 
-/** Returns the newest commit of a session; a commit without a position leaves it as it was. */
+/** Returns the log position of a session's newest commit; a commit without a position leaves it unchanged. */
 export function getNewestCommit(newest: LogPosition | undefined, committed: LogPosition | undefined): LogPosition | undefined {
 	return committed ?? newest;
 }
--- a/packages/gateway/src/statements/outcome.ts
+++ b/packages/gateway/src/statements/outcome.ts
@@ -3,7 +3,7 @@
 	type SessionState, type Statement, type PreparedAccess, type TransactionAccess,
 } from './statement.js';
 
-/** Error of a statement at an instance. */
+/** Kind of error with which an instance answers a statement. */
 export type InstanceErrorKind =
 	| 'aborted'
 	| 'busy'
@@ -30,7 +30,7 @@
 	/** Id given by the caller, absent for control statements. */
 	readonly id?: string;
 	readonly statement: Statement | ControlStatement;
-	/** Log position that the instance must have reached. */
+	/** Log position that the instance must have reached; absent when any will do. */
 	readonly since?: LogPosition;
 };
 
