--- a/packages/gateway/src/tests/dispatch/dispatcher.test.ts
+++ b/packages/gateway/src/tests/dispatch/dispatcher.test.ts
@@ -4,14 +4,14 @@
 const {write} = statements;
 
 /** Sends writes of many accounts at a constant rate through the VMs, and returns how many were sent and served in each second. */
-async function sendLoad(cluster: TestCluster, vms: readonly string[], accounts: readonly string[], ratePerS: number, durationS: number): Promise<Array<{asked: number; served: number}>> {
-	const seconds = Array.from({length: durationS}, () => ({asked: 0, served: 0}));
+async function sendLoad(cluster: TestCluster, vms: readonly string[], accounts: readonly string[], ratePerS: number, durationS: number): Promise<Array<{sent: number; served: number}>> {
+	const seconds = Array.from({length: durationS}, () => ({sent: 0, served: 0}));
 	const startedAt = cluster.time.now();
 	const pending: Array<Promise<void>> = [];
 	let index = 0;
-	const send = async (second: {asked: number; served: number}) => {
+	const send = async (second: {sent: number; served: number}) => {
 		index += 1;
-		second.asked += 1;
+		second.sent += 1;
 		const session = cluster.openSession(vms[index % vms.length]!, 'strict', accounts[(index * 7) % accounts.length]);
 		const answer = await session.send(write);
 		second.served += answer.result.kind === 'completed' ? 1 : 0;
@@ -48,7 +48,7 @@
 	await sendLoad(cluster, vms, accounts, 600, 3);
 	const after = await sendLoad(cluster, vms, accounts, 55, 6);
 	for (const second of after.slice(2)) {
-		t.true(second.served >= second.asked * 0.9, `${second.served} of ${second.asked}`);
+		t.true(second.served >= second.sent * 0.9, `${second.served} of ${second.sent}`);
 	}
 
 	cluster.stop();
@@ -83,8 +83,8 @@
 	await cluster.time.advance(200);
 	const byVm = await Promise.all(vms.map(async vm => sendLoad(cluster, [vm], accounts, 6, 2)));
 	for (const [index, seconds] of byVm.entries()) {
-		for (const {asked, served} of seconds) {
-			t.true(served >= asked * 0.8, `${vms[index]}: ${served} of ${asked}`);
+		for (const {sent, served} of seconds) {
+			t.true(served >= sent * 0.8, `${vms[index]}: ${served} of ${sent}`);
 		}
 	}
 
--- a/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
+++ b/packages/gateway/src/tests/dispatch/instance-tracker.test.ts
@@ -19,7 +19,7 @@
 	}, log, () => random);
 }
 
-/** Measures for how long after a time the instance is not used, milliseconds. */
+/** Measures the time after `from` for which the instance is not usable, in milliseconds. */
 function measureBackoff(tracker: InstanceTracker, from: number): number {
 	let time = from;
 	while (!tracker.isUsable(time)) {
--- a/packages/gateway/src/tests/fakes/fake-database.ts
+++ b/packages/gateway/src/tests/fakes/fake-database.ts
@@ -10,6 +10,7 @@
 /** A read or commit executed by a fake instance. */
 export type DatabaseEvent = {
 	readonly kind: 'read' | 'commit';
+	/** Monotonic time, in milliseconds. */
 	readonly at: number;
 	readonly instanceId: string;
 	readonly account: string;
@@ -22,15 +23,19 @@
 
 /** Settings of a fake group; tests may change them at any time. */
 export type FakeDatabaseOptions = {
+	/** Time for which a statement occupies a slot, in milliseconds. */
 	serviceMs: number;
+	/** Replication lag, in milliseconds. */
 	lagMs: number;
+	/** Duration of a promotion, in milliseconds. */
 	promoteMs: number;
+	/** Maximum number of connections per instance. */
 	maxConnections: number;
-	/** Concurrent statements and handshakes per instance; unlimited if absent. */
+	/** Maximum number of concurrent statements and handshakes per instance; unlimited if absent. */
 	slots?: number;
-	/** Maximum statements waiting for a slot; further ones are refused as busy. Handshakes always wait. */
+	/** Maximum number of statements that wait for a slot; further ones are refused as busy. Handshakes always wait. */
 	queue?: number;
-	/** Time for which the handshake of a new connection occupies a slot, milliseconds. */
+	/** Time for which the handshake of a new connection occupies a slot, in milliseconds. */
 	handshakeMs?: number;
 };
 
@@ -49,7 +54,7 @@
 	#occupiedSlots = 0;
 	readonly #queue: Array<() => void> = [];
 
-	/** Waits for a slot and occupies it for a time; returns false if the queue is full. */
+	/** Waits for a slot and occupies it for `ms`; returns whether the queue had room. */
 	async occupySlot(ms: number, isHandshake = false): Promise<boolean> {
 		const {slots = Number.POSITIVE_INFINITY, queue = 0} = this.database.options;
 		if (this.#occupiedSlots >= slots) {
@@ -95,7 +100,7 @@
 	readonly promotions: Array<{readonly at: number; readonly term: number; readonly position: LogPosition}> = [];
 	/** Pairs `VM INSTANCE` that cannot reach each other. */
 	readonly unreachablePairs = new Set<string>();
-	/** Errors to inject into the next statements of a kind. */
+	/** Errors to inject into the next statements of a kind; `lost-before` and `lost-after` close the connection before or after the statement is run. */
 	readonly plannedErrors: Array<{readonly kind: string; readonly error: InstanceErrorKind | 'lost-after' | 'lost-before'}> = [];
 	term = 1;
 
@@ -108,7 +113,8 @@
 		return this.instances.filter(instance => instance.role === 'primary').toSorted((a, b) => b.term - a.term)[0]!;
 	}
 
-	describeInstances(): Instance[] {
+	/** Creates the registered form of the running instances. */
+	createInstances(): Instance[] {
 		return this.instances.filter(instance => instance.isAlive).map(instance => ({
 			id: instance.id, group: this.group, address: `${instance.id}:1`, zone: 'a', slots: 2, state: 'ready', reportedRole: instance.role, bornMs: 1,
 		}));
@@ -373,8 +379,8 @@
 	}
 
 	#runReadOrWrite(id: string, isWrite: boolean, shape: string | undefined): StatementOutcome {
-		const isLost = this.#state === 'in-transaction' && !this.#isReadOnly && this.instance.role !== 'primary';
-		if ((isWrite && (this.instance.role !== 'primary' || this.#isReadOnly)) || isLost) {
+		const isPrimaryLost = this.#state === 'in-transaction' && !this.#isReadOnly && this.instance.role !== 'primary';
+		if ((isWrite && (this.instance.role !== 'primary' || this.#isReadOnly)) || isPrimaryLost) {
 			return this.#refuse('not-primary');
 		}
 
--- a/packages/gateway/src/tests/fakes/fake-network.ts
+++ b/packages/gateway/src/tests/fakes/fake-network.ts
@@ -3,7 +3,8 @@
 	type PeerHandlers, type PeerLink, type PeerServer, type PeerNetwork,
 } from '../../ports/index.js';
 
-const delayMs = 2;
+/** Delay of each message and of a refused connection, in milliseconds. */
+const linkDelayMs = 2;
 
 /** In-memory network between VMs; isolated VMs send and receive nothing. */
 export class FakeSwitch {
@@ -29,7 +30,7 @@
 			if (this.isOpen && this.remote?.isOpen === true && !this.network.isolatedVms.has(this.from) && !this.network.isolatedVms.has(this.to)) {
 				this.remote.handlers?.onMessage(parsePeerMessage(text.trimEnd()));
 			}
-		}, delayMs);
+		}, linkDelayMs);
 	}
 
 	close(): void {
@@ -56,7 +57,7 @@
 		if (accept === undefined) {
 			setTimeout(() => {
 				localEnd.close();
-			}, delayMs);
+			}, linkDelayMs);
 			return localEnd;
 		}
 
--- a/packages/gateway/src/tests/fakes/fake-store.ts
+++ b/packages/gateway/src/tests/fakes/fake-store.ts
@@ -17,6 +17,7 @@
 	readonly faultsByVm = new Map<string, StoreFault>();
 	/** Whether `readInstances` succeeds. */
 	areInstancesReadable = true;
+	/** Fault for all VMs; unless `none`, it replaces those in `faultsByVm`. */
 	fault: StoreFault = 'none';
 	version = 0;
 	readonly pollWaiters = new Set<() => void>();
--- a/packages/gateway/src/tests/fakes/test-cluster.ts
+++ b/packages/gateway/src/tests/fakes/test-cluster.ts
@@ -23,6 +23,7 @@
 
 /** Caller with one session. */
 export class TestCaller {
+	/** Refusal of the session, undefined if the session was opened. */
 	rejection: Refusal | undefined;
 	isClosed = false;
 	readonly #session: CallerSession | undefined;
@@ -56,7 +57,7 @@
 		return this.#session!;
 	}
 
-	/** Sends a statement without advancing virtual time; resolves with its response. */
+	/** Sends a statement without advancing virtual time; resolves with its answer. */
 	async send(statement: Statement): Promise<CallerAnswer> {
 		this.#requestCount += 1;
 		return new Promise(resolve => {
@@ -65,7 +66,7 @@
 		});
 	}
 
-	/** Sends a statement and advances virtual time until its response arrives. */
+	/** Sends a statement and advances virtual time until its answer arrives. */
 	async sendAndWait(statement: Statement): Promise<CallerAnswer> {
 		return this.cluster.time.waitFor(this.send(statement));
 	}
@@ -144,7 +145,7 @@
 	/** Starts all VMs and waits until they can use the primary. */
 	async start(configuration = createConfiguration(1)): Promise<void> {
 		this.store.setConfiguration(configuration);
-		this.store.instances = this.database.describeInstances();
+		this.store.instances = this.database.createInstances();
 		for (const vm of this.vms) {
 			await this.startVm(vm);
 		}
@@ -152,6 +153,7 @@
 		await this.time.advance(3000);
 	}
 
+	/** Starts a VM, or starts it again as a new process. */
 	async startVm(vm: string): Promise<void> {
 		this.#startedVms += 1;
 		const connector = new FakeConnector(vm, [this.database]);
--- a/packages/gateway/src/tests/fakes/virtual-time.ts
+++ b/packages/gateway/src/tests/fakes/virtual-time.ts
@@ -1,7 +1,7 @@
 import {mock} from 'node:test';
 import {type Clock} from '../../ports/index.js';
 
-/** Resolution of virtual time, milliseconds. */
+/** Resolution of virtual time, in milliseconds. */
 const stepMs = 5;
 
 /** Virtual time, advanced explicitly by tests: mocked timers, monotonic clock and wall clock. */
@@ -23,7 +23,7 @@
 		return this.#now + this.#wallOffset;
 	}
 
-	/** Shifts wall-clock time. */
+	/** Shifts wall-clock time, but not monotonic time. */
 	jumpWallTime(ms: number): void {
 		this.#wallOffset += ms;
 	}
@@ -33,12 +33,12 @@
 		for (let passed = 0; passed < ms; passed += stepMs) {
 			this.#now += stepMs;
 			mock.timers.tick(stepMs);
-			await flush();
+			await runPendingCallbacks();
 		}
 	}
 
-	/** Advances time until a promise settles; throws if it does not within `atMostMs`. */
-	async waitFor<T>(promise: Promise<T>, atMostMs = 20_000): Promise<T> {
+	/** Advances time until a promise settles; throws if it does not within `timeoutMs` of virtual time. */
+	async waitFor<T>(promise: Promise<T>, timeoutMs = 20_000): Promise<T> {
 		const state = {isSettled: false};
 		void (async () => {
 			try {
@@ -48,12 +48,12 @@
 			}
 		})();
 
-		for (let passed = 0; !state.isSettled && passed < atMostMs; passed += stepMs) {
+		for (let passed = 0; !state.isSettled && passed < timeoutMs; passed += stepMs) {
 			await this.advance(stepMs);
 		}
 
 		if (!state.isSettled) {
-			throw new Error(`the promise did not settle within ${atMostMs} ms of virtual time`);
+			throw new Error(`the promise did not settle within ${timeoutMs} ms of virtual time`);
 		}
 
 		return promise;
@@ -65,7 +65,7 @@
 }
 
 /** Runs pending callbacks without advancing time. */
-async function flush(): Promise<void> {
+async function runPendingCallbacks(): Promise<void> {
 	for (let turn = 0; turn < 4; turn++) {
 		await new Promise(resolve => {
 			setImmediate(resolve);
--- a/packages/gateway/src/tests/sessions/shutdown.test.ts
+++ b/packages/gateway/src/tests/sessions/shutdown.test.ts
@@ -48,8 +48,8 @@
 test.serial('a statement that still waits for a connection at half of the grace period is refused, not kept waiting until its end', async t => {
 	const cluster = new TestCluster();
 	await cluster.start();
-	const resting = cluster.openSession('vm1', 'strict');
-	await resting.sendAndWait(begin);
+	const inTransaction = cluster.openSession('vm1', 'strict');
+	await inTransaction.sendAndWait(begin);
 	const drained = cluster.getGateway('vm1').gateway.drain(timing);
 	await cluster.time.advance(2600);
 	cluster.database.primary.crash();
