--- a/packages/gateway/src/dispatch/instance-tracker.ts
+++ b/packages/gateway/src/dispatch/instance-tracker.ts
@@ -64,7 +64,7 @@
 	/** @param random - Returns a random number in [0, 1). */
 	constructor(readonly instance: Instance, private readonly log: EventLog, private readonly random: () => number) {}
 
-	/** Monotonic time since which the instance cannot be reached or does not answer, in milliseconds; undefined while it does. */
+	/** Monotonic time since which the instance cannot be reached or does not answer, in milliseconds; undefined while it works. */
 	get failingSince(): number | undefined {
 		return this.#failingSince;
 	}
@@ -157,6 +157,7 @@
 		return request;
 	}
 
+	/** Removes a request whose outcome is known. */
 	removePendingRequest(request: PendingRequest): void {
 		this.#pendingRequests.delete(request);
 	}
--- a/packages/gateway/src/ports/instance-connector.ts
+++ b/packages/gateway/src/ports/instance-connector.ts
@@ -15,6 +15,7 @@
 	run(statements: readonly OutgoingStatement[], timeoutMs: number): Promise<StatementOutcome[]>;
 	/** Parses the answer to `control-status`; returns undefined when it failed or is malformed. */
 	parseStatus(outcome: StatementOutcome): InstanceStatus | undefined;
+	/** Calls a listener once the connection is closed by either side. */
 	onClosed(listener: () => void): void;
 	close(): void;
 };
--- a/packages/gateway/src/tests/fakes/fake-database.ts
+++ b/packages/gateway/src/tests/fakes/fake-database.ts
@@ -74,6 +74,7 @@
 		return true;
 	}
 
+	/** Stops the instance and closes its connections. */
 	crash(): void {
 		this.isAlive = false;
 		for (const connection of this.connections) {
@@ -109,6 +110,7 @@
 		this.instances[0]!.role = 'primary';
 	}
 
+	/** Primary of the newest term. */
 	get primary(): FakeInstance {
 		return this.instances.filter(instance => instance.role === 'primary').toSorted((a, b) => b.term - a.term)[0]!;
 	}
@@ -120,6 +122,7 @@
 		}));
 	}
 
+	/** Returns whether a VM and an instance cannot reach each other. */
 	isUnreachable(vm: string, instance: FakeInstance): boolean {
 		return this.unreachablePairs.has(`${vm} ${instance.id}`);
 	}
--- a/packages/gateway/src/tests/fakes/fake-store.ts
+++ b/packages/gateway/src/tests/fakes/fake-store.ts
@@ -22,6 +22,7 @@
 	version = 0;
 	readonly pollWaiters = new Set<() => void>();
 
+	/** Sets the configuration and answers all waiting polls. */
 	setConfiguration(configuration: GatewayConfiguration): void {
 		this.version += 1;
 		this.configuration = configuration;
@@ -30,6 +31,7 @@
 		}
 	}
 
+	/** Applies all writes, or none when a row is not at its expected version. */
 	write(writes: readonly SharedRowWrite[]): WriteResult {
 		if (writes.some(write => (this.rows.get(write.key)?.version ?? 0) !== write.expectedVersion)) {
 			return {isApplied: false, version: 0};
--- a/packages/gateway/src/tests/fakes/test-cluster.ts
+++ b/packages/gateway/src/tests/fakes/test-cluster.ts
@@ -189,6 +189,7 @@
 		return JSON.parse(this.store.rows.get('group/db')!.value) as {term: number; primaryId: string; phase: string};
 	}
 
+	/** Stops all gateways and restores real timers. */
 	stop(): void {
 		for (const {gateway} of this.gateways.values()) {
 			gateway.stop();
--- a/packages/gateway/src/tests/fakes/virtual-time.ts
+++ b/packages/gateway/src/tests/fakes/virtual-time.ts
@@ -59,6 +59,7 @@
 		return promise;
 	}
 
+	/** Restores real timers. */
 	stop(): void {
 		mock.timers.reset();
 	}
