--- a/packages/gateway/src/tests/fakes/fake-store.ts
+++ b/packages/gateway/src/tests/fakes/fake-store.ts
@@ -17,10 +17,12 @@
 	readonly faultsByVm = new Map<string, StoreFault>();
 	/** Whether `readInstances` succeeds. */
 	areInstancesReadable = true;
+	/** Fault for all VMs; unless `none`, it replaces those in `faultsByVm`. */
 	fault: StoreFault = 'none';
 	version = 0;
 	readonly pollWaiters = new Set<() => void>();
 
+	/** Sets the configuration and answers all waiting polls. */
 	setConfiguration(configuration: GatewayConfiguration): void {
 		this.version += 1;
 		this.configuration = configuration;
@@ -29,6 +31,7 @@
 		}
 	}
 
+	/** Applies all writes, or none when a row is not at its expected version. */
 	write(writes: readonly SharedRowWrite[]): WriteResult {
 		if (writes.some(write => (this.rows.get(write.key)?.version ?? 0) !== write.expectedVersion)) {
 			return {isApplied: false, version: 0};
