--- a/packages/decisions/src/freshness/freshness-tracker.ts
+++ b/packages/decisions/src/freshness/freshness-tracker.ts
@@ -28,14 +28,14 @@
 	}
 
 	/** Records that the view contained everything that the store held at a time. */
-	observeStoreSync(at: number): void {
+	recordStoreSync(at: number): void {
 		this.#storeSyncedAt = Math.max(this.#storeSyncedAt, at);
 		// An earlier process of this VM may have confirmed changes until this one started.
 		this.#isSynchronized ||= at >= this.startedAt;
 	}
 
 	/** Records that the view contained everything that a synchronized peer knew at a time. */
-	observePeerSync(peer: string, at: number, voters: readonly string[]): void {
+	recordPeerSync(peer: string, at: number, voters: readonly string[]): void {
 		this.#peerSyncTimes.set(peer, Math.max(this.#peerSyncTimes.get(peer) ?? Number.NEGATIVE_INFINITY, at));
 		if (!this.#isSynchronized && this.#getMajoritySyncedAt(voters, at) >= at - this.maxAgeMs) {
 			this.#isSynchronized = true;
@@ -43,7 +43,7 @@
 	}
 
 	/** Discards the syncs with a peer that restarted, as its new process may not know every change. */
-	removePeer(peer: string): void {
+	removePeerSync(peer: string): void {
 		this.#peerSyncTimes.delete(peer);
 	}
 
--- a/packages/decisions/src/leases/lease-candidate.ts
+++ b/packages/decisions/src/leases/lease-candidate.ts
@@ -45,7 +45,7 @@
 	}
 
 	/** Records whether no candidate holds the lease, as far as this VM knows. */
-	observeVacancy(isVacant: boolean, now: number): void {
+	recordVacancy(isVacant: boolean, now: number): void {
 		this.#vacantSince = isVacant ? this.#vacantSince ?? now : undefined;
 	}
 
@@ -80,7 +80,7 @@
 	 * Records the promise of one voter; a majority extends the lease.
 	 * @returns Whether this promise completed the majority.
 	 */
-	observePromise(round: LeaseRound, voter: string, voters: readonly string[]): boolean {
+	recordPromise(round: LeaseRound, voter: string, voters: readonly string[]): boolean {
 		if (round !== this.#round || !voters.includes(voter)) {
 			return false;
 		}
@@ -95,7 +95,7 @@
 	}
 
 	/** Records that a voter has promised the lease to another candidate, and delays the next attempt until that promise expires. */
-	observeRefusal(remainingMs: number, now: number): void {
+	recordRefusal(remainingMs: number, now: number): void {
 		if (!this.isHeld(now)) {
 			this.#nextAttemptAt = Math.max(this.#nextAttemptAt, now + Math.min(remainingMs, this.timing.durationMs));
 		}
@@ -109,7 +109,7 @@
 	}
 
 	/** Adopts the term of another candidate if it is higher. */
-	observeTerm(term: number): void {
+	recordTerm(term: number): void {
 		this.#term = Math.max(this.#term, term);
 	}
 
--- a/packages/decisions/src/leases/lease-voter.ts
+++ b/packages/decisions/src/leases/lease-voter.ts
@@ -9,7 +9,7 @@
 };
 
 /** Response to a promise request. */
-export type PromiseAnswer = {
+export type PromiseResponse = {
 	readonly promised: boolean;
 	/** Holder of the promise in force, empty for none. */
 	readonly holder: string;
@@ -47,7 +47,7 @@
 	}
 
 	/** Promises the lease to the candidate unless the promise to another holder is in force, and returns the response. */
-	handlePromiseRequest(request: PromiseRequest, now: number): PromiseAnswer {
+	handlePromiseRequest(request: PromiseRequest, now: number): PromiseResponse {
 		const startupDelayMs = this.startedAt + (this.maxLeaseMs * (1 + maxClockDriftFraction)) - now;
 		if (startupDelayMs > 0) {
 			return {
@@ -67,13 +67,13 @@
 	}
 
 	/** Ends the promise to a holder that released the lease. */
-	release(holder: string): void {
+	releasePromise(holder: string): void {
 		if (this.#holder === holder) {
 			this.#promisedUntil = Number.NEGATIVE_INFINITY;
 		}
 	}
 
-	#createResponse(promised: boolean, now: number): PromiseAnswer {
+	#createResponse(promised: boolean, now: number): PromiseResponse {
 		return {
 			promised, holder: this.getHolder(now), term: this.#term, remainingMs: Math.max(0, this.#promisedUntil - now),
 		};
--- a/packages/decisions/src/limits/token-issuer.ts
+++ b/packages/decisions/src/limits/token-issuer.ts
@@ -104,7 +104,7 @@
 	}
 
 	/** Discards the recorded usage of a VM whose process restarted. */
-	removeVm(vm: string): void {
+	removeVmUsage(vm: string): void {
 		for (const {usageRates} of this.#accounts.values()) {
 			usageRates.delete(vm);
 		}
--- a/packages/decisions/src/promotion/failure-detector.ts
+++ b/packages/decisions/src/promotion/failure-detector.ts
@@ -35,7 +35,7 @@
 	constructor(private readonly group: GroupState, private readonly options: FailureDetectorOptions = defaultFailureDetectorOptions) {}
 
 	/** Updates the time since which this VM sees failures from the current state of the group. */
-	observe(now: number): void {
+	updateFailureStart(now: number): void {
 		if (this.group.term !== this.#evaluatedTerm) {
 			this.#evaluatedTerm = this.group.term;
 			this.#failingSince = undefined;
@@ -50,7 +50,7 @@
 		return this.#failingSince === undefined ? 0 : Math.max(1, now - this.#failingSince);
 	}
 
-	observeReport(report: FailureReport): void {
+	recordReport(report: FailureReport): void {
 		this.#reports.set(report.vm, report);
 	}
 
@@ -74,7 +74,7 @@
 		return voters.length > 0 && agreeing.length >= getMajority(voters.length);
 	}
 
-	observePromotionStarted(now: number): void {
+	recordPromotionStarted(now: number): void {
 		this.#lastPromotionAt = now;
 	}
 
--- a/packages/decisions/src/promotion/promotion-round.ts
+++ b/packages/decisions/src/promotion/promotion-round.ts
@@ -2,7 +2,7 @@
 import {getMajority} from '../leases/lease-candidate.js';
 
 /** Response of an instance that was asked to accept a new term. */
-export type FenceAnswer = {
+export type PromotionFenceResponse = {
 	readonly instance: string;
 	readonly accepted: boolean;
 	/** Highest term that the instance has accepted. */
@@ -24,7 +24,7 @@
  * with the latest position holds all acknowledged writes.
  */
 export class PromotionRound {
-	readonly #accepted: FenceAnswer[] = [];
+	readonly #accepted: PromotionFenceResponse[] = [];
 	#isOver = false;
 	#majorityAt: number | undefined;
 
@@ -37,7 +37,7 @@
 	constructor(readonly term: number, private readonly instances: readonly string[], private readonly graceMs: number, private readonly failingPrimary?: string) {}
 
 	/** Handles the response of an instance. */
-	observeAnswer(answer: FenceAnswer, now: number): PromotionCommand {
+	handleFenceResponse(answer: PromotionFenceResponse, now: number): PromotionCommand {
 		if (this.#isOver) {
 			return {kind: 'wait'};
 		}
--- a/packages/decisions/src/queueing/wait-estimator.ts
+++ b/packages/decisions/src/queueing/wait-estimator.ts
@@ -16,7 +16,7 @@
 	 * Records that a waiting request was placed.
 	 * @param remaining - Number of requests that still wait.
 	 */
-	observePlaced(remaining: number, now: number): void {
+	recordPlacement(remaining: number, now: number): void {
 		if (this.#lastPlacedAt !== undefined && now - this.#lastPlacedAt <= maxIntervalMs) {
 			this.#meanIntervalMs += smoothingFactor * (now - this.#lastPlacedAt - this.#meanIntervalMs);
 		}
--- a/packages/decisions/src/retries/retry-budget.ts
+++ b/packages/decisions/src/retries/retry-budget.ts
@@ -11,7 +11,7 @@
 	}
 
 	/** Records a request that is not a retry. */
-	observeRequest(): void {
+	recordRequest(): void {
 		this.#tokens = Math.min(this.maxTokens, this.#tokens + this.retriesPerRequest);
 	}
 
--- a/packages/decisions/src/routing/group-state.ts
+++ b/packages/decisions/src/routing/group-state.ts
@@ -45,7 +45,7 @@
 	 * @param primaryName - Name of the primary.
 	 * @returns Whether the state changed.
 	 */
-	observePrimary(term: number, primaryName: string): boolean {
+	recordPrimary(term: number, primaryName: string): boolean {
 		if (term < this.term || (term === this.term && this.primaryName !== undefined)) {
 			return false;
 		}
@@ -56,7 +56,7 @@
 	}
 
 	/** Records a term whose primary is not known yet; the primary of an older term is no longer used. */
-	observeTerm(term: number): void {
+	recordTerm(term: number): void {
 		if (term > this.term) {
 			this.term = term;
 			this.primaryName = undefined;
--- a/packages/decisions/src/routing/instance-view.ts
+++ b/packages/decisions/src/routing/instance-view.ts
@@ -53,16 +53,16 @@
 	}
 
 	/** Records the response to a status request that was sent at `sentAt`. */
-	observeReport(report: InstanceReport, sentAt: number): void {
-		this.observeReachable();
+	recordReport(report: InstanceReport, sentAt: number): void {
+		this.recordReachable();
 		this.term = Math.max(this.term, report.term);
 		this.isPrimary = report.primary && report.term === this.term;
 		this.primarySilentMs = report.primarySilentMs;
-		this.observePosition(report.position, report.stalenessMs, sentAt);
+		this.recordPosition(report.position, report.stalenessMs, sentAt);
 	}
 
 	/** Records the position and staleness from a response to a request that was sent at `sentAt`. */
-	observePosition(position: LogPosition, stalenessMs: number, sentAt: number): void {
+	recordPosition(position: LogPosition, stalenessMs: number, sentAt: number): void {
 		this.position = getLaterPosition(this.position, position);
 		if (sentAt >= this.#reportedAt) {
 			this.#stalenessMs = stalenessMs;
@@ -70,16 +70,16 @@
 		}
 	}
 
-	observeReachable(): void {
+	recordReachable(): void {
 		this.unreachableSince = undefined;
 	}
 
-	observeUnreachable(now: number): void {
+	recordUnreachable(now: number): void {
 		this.unreachableSince ??= now;
 	}
 
 	/** Records the duration of a request, in milliseconds. */
-	observeLatency(durationMs: number): void {
+	recordLatency(durationMs: number): void {
 		const smoothingFactor = 0.1;
 		this.latencyMs = this.latencyMs === 0 ? durationMs : this.latencyMs + (smoothingFactor * (durationMs - this.latencyMs));
 	}
--- a/packages/decisions/src/sessions/session.ts
+++ b/packages/decisions/src/sessions/session.ts
@@ -32,7 +32,7 @@
 	 * @param position - Position that the response includes.
 	 * @param isPrimary - Whether the primary responded, which resolves an unknown outcome.
 	 */
-	observePosition(group: string, position: LogPosition, isPrimary: boolean): void {
+	recordPosition(group: string, position: LogPosition, isPrimary: boolean): void {
 		const watermark = this.getWatermark(group);
 		this.#watermarks.set(group, {
 			position: getLaterPosition(watermark.position, position),
@@ -41,7 +41,7 @@
 	}
 
 	/** Records a write whose outcome is unknown. */
-	observeUnknownWrite(group: string): void {
+	recordUnknownWrite(group: string): void {
 		this.#watermarks.set(group, {...this.getWatermark(group), primaryOnly: true});
 	}
 
--- a/packages/decisions/src/tests/leases/lease-candidate.test.ts
+++ b/packages/decisions/src/tests/leases/lease-candidate.test.ts
@@ -35,7 +35,7 @@
 			for (const {id, index, candidate} of candidates) {
 				const isPaused = faults.some(one => one.kind === 'pause' && one.candidate === index && now >= one.at && now < one.at + one.durationMs);
 				if (!isPaused) {
-					candidate.observeVacancy(true, now);
+					candidate.recordVacancy(true, now);
 					runRound(id, candidate, voters, now, isLost);
 				}
 			}
@@ -62,16 +62,16 @@
 				holder: id, term: round.term, durationMs: timing.durationMs, predecessor: '',
 			}, now);
 		if (answer !== undefined && !isLost()) {
-			candidate.observeTerm(answer.term);
+			candidate.recordTerm(answer.term);
 			if (answer.promised) {
-				candidate.observePromise(round, name, voterNames);
+				candidate.recordPromise(round, name, voterNames);
 			}
 		}
 	}
 
 	if (!wasHeld && !candidate.isHeld(now)) {
 		for (const voter of voters.values()) {
-			voter.release(id);
+			voter.releasePromise(id);
 		}
 	}
 }
--- a/packages/decisions/src/tests/promotion/failure-detector.test.ts
+++ b/packages/decisions/src/tests/promotion/failure-detector.test.ts
@@ -6,12 +6,12 @@
 function createGroup(): GroupState {
 	const group = new GroupState('g');
 	for (const name of ['a', 'b', 'c']) {
-		group.addInstance(name, 'z').observeReport({
+		group.addInstance(name, 'z').recordReport({
 			term: 1, promoter: 'initial', primary: name === 'a', position: {term: 1, offset: 1}, stalenessMs: 5, primarySilentMs: 5,
 		}, 0);
 	}
 
-	group.observePrimary(1, 'a');
+	group.recordPrimary(1, 'a');
 	return group;
 }
 
@@ -24,18 +24,18 @@
 test('one VM alone never starts a promotion, however long it cannot reach the primary', t => {
 	const group = createGroup();
 	const detector = new FailureDetector(group);
-	group.getInstance('a')!.observeUnreachable(1000);
-	detector.observe(60_000);
+	group.getInstance('a')!.recordUnreachable(1000);
+	detector.updateFailureStart(60_000);
 	t.false(detector.isPromotionDue('v1', voters, 60_000));
-	detector.observeReport(createReport('v2', 0, 59_900));
+	detector.recordReport(createReport('v2', 0, 59_900));
 	t.false(detector.isPromotionDue('v1', voters, 60_000), 'the other VM reaches the primary');
-	detector.observeReport(createReport('v2', 700, 59_900, 0));
+	detector.recordReport(createReport('v2', 700, 59_900, 0));
 	t.false(detector.isPromotionDue('v1', voters, 60_000), 'a report about another term');
-	detector.observeReport(createReport('v2', 900, 50_000));
+	detector.recordReport(createReport('v2', 900, 50_000));
 	t.false(detector.isPromotionDue('v1', voters, 60_000), 'a report that is too old');
-	detector.observeReport(createReport('v2', 900, 59_900));
+	detector.recordReport(createReport('v2', 900, 59_900));
 	t.true(detector.isPromotionDue('v1', voters, 60_000));
-	detector.observePromotionStarted(60_000);
+	detector.recordPromotionStarted(60_000);
 	t.false(detector.isPromotionDue('v1', voters, 61_000), 'no second promotion within the minimum interval');
 });
 
@@ -43,17 +43,17 @@
 	const group = createGroup();
 	const detector = new FailureDetector(group);
 	for (const name of ['b', 'c']) {
-		group.getInstance(name)!.observeReport({
+		group.getInstance(name)!.recordReport({
 			term: 1, promoter: 'initial', primary: false, position: {term: 1, offset: 1}, stalenessMs: 900, primarySilentMs: 900,
 		}, 2000);
 	}
 
-	detector.observe(2000);
+	detector.updateFailureStart(2000);
 	t.is(detector.getFailingMs(2000), 900);
-	group.getInstance('c')!.observeReport({
+	group.getInstance('c')!.recordReport({
 		term: 1, promoter: 'initial', primary: false, position: {term: 1, offset: 1}, stalenessMs: 5, primarySilentMs: 5,
 	}, 2100);
 	const laterDetector = new FailureDetector(group);
-	laterDetector.observe(2100);
+	laterDetector.updateFailureStart(2100);
 	t.is(laterDetector.getFailingMs(2100), 0, 'one replica still hears from it');
 });
--- a/packages/decisions/src/tests/promotion/promotion-round.test.ts
+++ b/packages/decisions/src/tests/promotion/promotion-round.test.ts
@@ -64,7 +64,7 @@
 			}
 
 			const accepted = fence(instance, term, promoter);
-			const command = round.observeAnswer({
+			const command = round.handleFenceResponse({
 				instance: instance.name, accepted, term: instance.term, position: instance.log.at(-1)?.position ?? {term: 0, offset: 0},
 			}, 0);
 			this.#execute(command, isPromoteLost);
@@ -129,27 +129,27 @@
 
 test('a promoter that learns of a later term gives up', t => {
 	const round = new PromotionRound(2, names, 50);
-	t.deepEqual(round.observeAnswer({
+	t.deepEqual(round.handleFenceResponse({
 		instance: 'a', accepted: false, term: 4, position: position(1),
 	}, 0), {kind: 'give-up', seenTerm: 4});
 });
 
 test('the failing primary is promoted again only if there is no majority without it', t => {
 	const all = new PromotionRound(2, names, 50, 'a');
-	all.observeAnswer({
+	all.handleFenceResponse({
 		instance: 'a', accepted: true, term: 2, position: position(9),
 	}, 0);
-	all.observeAnswer({
+	all.handleFenceResponse({
 		instance: 'b', accepted: true, term: 2, position: position(3),
 	}, 0);
-	t.deepEqual(all.observeAnswer({
+	t.deepEqual(all.handleFenceResponse({
 		instance: 'c', accepted: true, term: 2, position: position(4),
 	}, 1), {kind: 'promote', instance: 'c', term: 2});
 	const two = new PromotionRound(2, names, 50, 'a');
-	two.observeAnswer({
+	two.handleFenceResponse({
 		instance: 'a', accepted: true, term: 2, position: position(9),
 	}, 0);
-	two.observeAnswer({
+	two.handleFenceResponse({
 		instance: 'b', accepted: true, term: 2, position: position(3),
 	}, 0);
 	t.deepEqual(two.advance(50), {kind: 'promote', instance: 'a', term: 2});
--- a/packages/decisions/src/tests/queueing/wait-estimator.test.ts
+++ b/packages/decisions/src/tests/queueing/wait-estimator.test.ts
@@ -38,7 +38,7 @@
 				continue;
 			}
 
-			estimator?.observePlaced(queue.length, now);
+			estimator?.recordPlacement(queue.length, now);
 			busyUntil.push(now + serviceMs);
 			counts[now + serviceMs - arrivedAt <= targetWaitMs + serviceMs ? 'inTime' : 'late'] += 1;
 		}
@@ -64,11 +64,11 @@
 test('an outage does not change the estimate', t => {
 	const estimator = new WaitEstimator();
 	for (let now = 0; now < 1000; now += 10) {
-		estimator.observePlaced(3, now);
+		estimator.recordPlacement(3, now);
 	}
 
 	const before = estimator.estimateWaitMs(4);
-	estimator.observePlaced(3, 9000);
+	estimator.recordPlacement(3, 9000);
 	t.is(estimator.estimateWaitMs(4), before);
 	t.true(before > 40 && before < 60, `${before}`);
 });
--- a/packages/decisions/src/tests/retries/retry-table.test.ts
+++ b/packages/decisions/src/tests/retries/retry-table.test.ts
@@ -27,7 +27,7 @@
 	const budget = new RetryBudget();
 	let retries = 0;
 	for (let request = 0; request < 1000; request += 1) {
-		budget.observeRequest();
+		budget.recordRequest();
 		retries += budget.acquireRetry() ? 1 : 0;
 	}
 
--- a/packages/decisions/src/tests/routing/read-router.test.ts
+++ b/packages/decisions/src/tests/routing/read-router.test.ts
@@ -15,16 +15,16 @@
 		const group = new GroupState('g');
 		for (const [index, fields] of instances.entries()) {
 			const view = group.addInstance(`i${index}`, 'z');
-			view.observeReport({
+			view.recordReport({
 				term: fields.term, promoter: '', primary: index === 0 && fields.term === 2, position: {term: fields.term, offset: fields.offset}, stalenessMs: fields.lagMs, primarySilentMs: 0,
 			}, 0);
 			Object.assign(view, {inUse: fields.inUse, limit: 3, isLeaving: fields.isLeaving});
 			if (!fields.isReachable) {
-				view.observeUnreachable(0);
+				view.recordUnreachable(0);
 			}
 		}
 
-		group.observePrimary(2, 'i0');
+		group.recordPrimary(2, 'i0');
 		const requirements: ReadRequirements = {...wanted, tried: new Set(['i2'])};
 		const choice = new ReadRouter('z').chooseInstance(group, requirements, 0);
 		if (choice.kind === 'send') {
--- a/packages/decisions/src/tests/sessions/session.test.ts
+++ b/packages/decisions/src/tests/sessions/session.test.ts
@@ -25,9 +25,9 @@
 
 test('after a write with unknown outcome a group needs its primary until a read there', t => {
 	const session = new Session();
-	session.observeUnknownWrite('a');
-	session.observePosition('a', {term: 1, offset: 4}, false);
+	session.recordUnknownWrite('a');
+	session.recordPosition('a', {term: 1, offset: 4}, false);
 	t.true(session.getWatermark('a').primaryOnly);
-	session.observePosition('a', {term: 1, offset: 4}, true);
+	session.recordPosition('a', {term: 1, offset: 4}, true);
 	t.false(session.getWatermark('a').primaryOnly);
 });
--- a/packages/gateway/src/coordination/cluster-member.ts
+++ b/packages/gateway/src/coordination/cluster-member.ts
@@ -478,7 +478,7 @@
 			this.dependencies.terms.applyTerm(term);
 		}
 
-		this.dependencies.coordinatorLease.observeVersion(report.dutyRevision);
+		this.dependencies.coordinatorLease.recordVersion(report.dutyRevision);
 		const sentAt = this.#heartbeatBuilder.recordReport(report);
 		// The next report repeats a version that is skipped here.
 		if (report.configurationVersion > this.dependencies.configuration.version && now - this.#configurationRefreshedAt >= refreshIntervalMs) {
--- a/packages/gateway/src/coordination/coordinator-lease.ts
+++ b/packages/gateway/src/coordination/coordinator-lease.ts
@@ -5,7 +5,7 @@
 import {coordinatorKey, type CoordinatorRow, parseSharedRows} from './shared-rows.js';
 
 /** Duration of the lease after its last renewal, in milliseconds: a shorter store outage interrupts nothing. */
-const leaseMs = 6000;
+const leaseDurationMs = 6000;
 
 /** Time beyond the duration of the lease that another VM waits before it takes over, in milliseconds. */
 const takeOverMarginMs = 500;
@@ -24,7 +24,7 @@
 
 /** Lease on the row that names the coordinator: acquires, renews and releases it for this VM. */
 export class CoordinatorLease {
-	readonly #lease = new DualClockLease(leaseMs);
+	readonly #lease = new DualClockLease(leaseDurationMs);
 	#heldRow: CoordinatorRow | undefined;
 	/** Highest known version of the row, and the monotonic time at which it was first observed, in milliseconds. */
 	#observedVersion: {readonly version: number; readonly at: number} | undefined;
@@ -58,7 +58,7 @@
 
 	/** Returns the time since the last successful renewal, in milliseconds; at most the duration of the lease, 0 when this VM does not hold it. */
 	getMsSinceRenewal(): number {
-		return this.#heldRow === undefined ? 0 : leaseMs - this.getRemainingMs();
+		return this.#heldRow === undefined ? 0 : leaseDurationMs - this.getRemainingMs();
 	}
 
 	/** Returns whether this VM may act as the coordinator now. */
@@ -72,7 +72,7 @@
 	}
 
 	/** Records the version of the row, as read from the store or reported by the holder; a new version shows that the holder is alive. */
-	observeVersion(version: number): void {
+	recordVersion(version: number): void {
 		if (this.#observedVersion === undefined || version > this.#observedVersion.version) {
 			this.#observedVersion = {version, at: this.clock.now()};
 		}
@@ -84,13 +84,13 @@
 			return true;
 		}
 
-		this.observeVersion(row.version);
+		this.recordVersion(row.version);
 		if (row.holder === noHolder) {
 			return true;
 		}
 
 		const isPredecessor = row.holder === this.identity.vm && row.incarnation !== this.identity.incarnation;
-		return isPredecessor || (this.#observedVersion!.version === row.version && this.clock.now() - this.#observedVersion!.at > leaseMs + takeOverMarginMs);
+		return isPredecessor || (this.#observedVersion!.version === row.version && this.clock.now() - this.#observedVersion!.at > leaseDurationMs + takeOverMarginMs);
 	}
 
 	/** Tries to acquire the lease with the next fencing token; returns whether it succeeded. */
@@ -227,7 +227,7 @@
 		this.#unconfirmedWriteAt = undefined;
 		this.#lease.renew(at);
 		this.#renewalIntervalStartedAt = this.clock.now();
-		this.observeVersion(row.version);
+		this.recordVersion(row.version);
 	}
 
 	/** Runs an operation after all earlier ones have ended. */
--- a/packages/gateway/src/coordination/coordinator.ts
+++ b/packages/gateway/src/coordination/coordinator.ts
@@ -81,7 +81,7 @@
 			&& heartbeat.incarnation === this.#members.get(heartbeat.vm)?.heartbeat.incarnation;
 		if (!isDelayed) {
 			if (heartbeat.incarnation !== this.#members.get(heartbeat.vm)?.heartbeat.incarnation) {
-				this.#tokenIssuer.removeVm(heartbeat.vm);
+				this.#tokenIssuer.removeVmUsage(heartbeat.vm);
 			}
 
 			this.#members.set(heartbeat.vm, {link, heartbeat, heartbeatAt: now});
--- a/packages/gateway/src/dispatch/dispatcher.ts
+++ b/packages/gateway/src/dispatch/dispatcher.ts
@@ -115,7 +115,7 @@
 		dependencies.terms.onChanged(term => {
 			this.#dispatchGroup(term.group);
 		});
-		dependencies.terms.onLeaseRegained(() => {
+		dependencies.terms.onLeaseAcquired(() => {
 			this.#dispatchAllGroups();
 		});
 		setInterval(() => {
@@ -335,7 +335,7 @@
 			remainingCount += other.request.target === request.target ? 1 : 0;
 		}
 
-		this.#getEstimator(request).observePlaced(remainingCount, this.dependencies.clock.now());
+		this.#getEstimator(request).recordPlacement(remainingCount, this.dependencies.clock.now());
 	}
 
 	#startOpening(waiter: Waiter, pool: InstancePool): void {
--- a/packages/gateway/src/limits/account-limiter.ts
+++ b/packages/gateway/src/limits/account-limiter.ts
@@ -83,7 +83,7 @@
 	 * Acquires a token for one operation.
 	 * @returns 0 if the operation is admitted, otherwise the time after which to retry, in milliseconds.
 	 */
-	async acquireOperation(account: string): Promise<number> {
+	async acquireToken(account: string): Promise<number> {
 		const now = this.clock.now();
 		const state = this.#getState(account);
 		if (state.availableTokens > 0 && now < state.tokensExpireAt) {
@@ -104,7 +104,7 @@
 	}
 
 	/** Releases the token of an operation that never reached an instance, for the next operation of the account. */
-	releaseOperation(account: string): void {
+	releaseToken(account: string): void {
 		const state = this.#accounts.get(account);
 		if (state === undefined) {
 			return;
@@ -119,7 +119,7 @@
 	}
 
 	/** Describes an account's limit, and whether it is enforced across all VMs or by this one alone, for a refusal message. */
-	describeLimit(account: string): string {
+	formatLimit(account: string): string {
 		const limit = this.configuration.getAccount(account);
 		const scope = this.#localModeSince === undefined ? 'over all VMs' : `kept by this VM alone, one of ${this.#memberCount ?? 'an unknown number'}`;
 		return `${limit?.ratePerS ?? 0} operations a second, ${limit?.burst ?? 0} at once, ${scope}`;
--- a/packages/gateway/src/sessions/caller-session.ts
+++ b/packages/gateway/src/sessions/caller-session.ts
@@ -339,9 +339,9 @@
 			return {kind: 'refused', refusal: refusals.unknownKey(), isFinal: true};
 		}
 
-		const waitMs = await this.#acquireOperation(account);
+		const waitMs = await this.#acquireToken(account);
 		if (waitMs > 0) {
-			return {kind: 'refused', refusal: refusals.overLimit(account, Math.ceil(waitMs), this.dependencies.limiter.describeLimit(account)), isFinal: false};
+			return {kind: 'refused', refusal: refusals.overLimit(account, Math.ceil(waitMs), this.dependencies.limiter.formatLimit(account)), isFinal: false};
 		}
 
 		return {
@@ -352,14 +352,14 @@
 	}
 
 	/** Acquires an operation from the rate limit of an account, if it has one; returns the time after which to retry, in milliseconds, zero if the operation is admitted. */
-	async #acquireOperation(account: string): Promise<number> {
-		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.acquireOperation(account);
+	async #acquireToken(account: string): Promise<number> {
+		return this.dependencies.configuration.getAccount(account) === undefined ? 0 : this.dependencies.limiter.acquireToken(account);
 	}
 
 	/** Releases an operation that no instance ran, so that it does not count against the rate limit of its account. */
 	#releaseIfNotRun(operation: Operation, outcome: OperationOutcome): void {
 		if (outcome.kind === 'refused' && !operation.mayHaveRun) {
-			this.dependencies.limiter.releaseOperation(operation.account);
+			this.dependencies.limiter.releaseToken(operation.account);
 		}
 	}
 
--- a/packages/gateway/src/terms/term-registry.ts
+++ b/packages/gateway/src/terms/term-registry.ts
@@ -37,7 +37,7 @@
 	readonly #drainedRevisions = new Map<string, number>();
 	readonly #lease = new DualClockLease(termLeaseMs);
 	readonly #changeListeners: Array<(term: GroupTerm) => void> = [];
-	readonly #leaseRegainedListeners: Array<() => void> = [];
+	readonly #leaseAcquiredListeners: Array<() => void> = [];
 	#wasLeaseHeld = false;
 	#leaseRenewedAt = Number.NEGATIVE_INFINITY;
 
@@ -53,8 +53,8 @@
 	}
 
 	/** Adds a listener that is called whenever the lease is acquired, at first or again after it had ended. */
-	onLeaseRegained(listener: () => void): void {
-		this.#leaseRegainedListeners.push(listener);
+	onLeaseAcquired(listener: () => void): void {
+		this.#leaseAcquiredListeners.push(listener);
 	}
 
 	/** Returns the newest known term of a group, undefined if none is known. */
@@ -112,7 +112,7 @@
 		this.#leaseRenewedAt = Math.max(this.#leaseRenewedAt, at.monotonicMs);
 		if (!wasHeld && this.isLeaseHeld()) {
 			this.log.logEvent('term-lease.taken', {ageMs: Math.round(this.clock.now() - at.monotonicMs)});
-			for (const listener of this.#leaseRegainedListeners) {
+			for (const listener of this.#leaseAcquiredListeners) {
 				listener();
 			}
 		}
--- a/packages/proxy/src/configuration/configuration-replica.ts
+++ b/packages/proxy/src/configuration/configuration-replica.ts
@@ -74,7 +74,7 @@
 		const {version, snapshotVersion} = head.unsafeCoerce();
 		await this.#runExclusively(async () => this.#catchUpFromStore(version, snapshotVersion));
 		if (this.version >= version) {
-			this.dependencies.freshness.observeStoreSync(sentAt);
+			this.dependencies.freshness.recordStoreSync(sentAt);
 		}
 
 		return Right(version);
--- a/packages/proxy/src/groups/group-registry.ts
+++ b/packages/proxy/src/groups/group-registry.ts
@@ -113,7 +113,7 @@
 		}
 
 		this.#promotingGroups.add(name);
-		group.detector.observePromotionStarted(now);
+		group.detector.recordPromotionStarted(now);
 		await this.promoter.promoteGroup(group);
 		this.#promotingGroups.delete(name);
 	}
--- a/packages/proxy/src/groups/group.ts
+++ b/packages/proxy/src/groups/group.ts
@@ -74,20 +74,20 @@
 	}
 
 	/** Records the primary of a term and, if it is new, re-evaluates pending writes and queued requests. */
-	observePrimary(term: number, name: string): void {
-		if (this.state.observePrimary(term, name)) {
+	recordPrimary(term: number, name: string): void {
+		if (this.state.recordPrimary(term, name)) {
 			this.#handlePrimaryChange();
 		}
 	}
 
 	/** Records that an instance responded to a request. */
-	observeResponse(instance: InstanceView): void {
-		instance.observeReachable();
+	recordResponse(instance: InstanceView): void {
+		instance.recordReachable();
 		this.#lastResponseAt.set(instance.name, this.clock.getNow());
 	}
 
 	/** Records that a request to an instance failed, and probes the instance at once. */
-	observeFailure(instance: InstanceView): void {
+	recordFailure(instance: InstanceView): void {
 		this.#lastResponseAt.delete(instance.name);
 		this.#lastProbeAt.delete(instance.name);
 		void this.probeInstance(instance);
@@ -103,7 +103,7 @@
 			}
 		}
 
-		this.detector.observe(now);
+		this.detector.updateFailureStart(now);
 	}
 
 	/** Requests the status of an instance and updates the state of the group from it. */
@@ -115,14 +115,14 @@
 		this.#probedInstances.add(instance.name);
 		status?.caseOf({
 			Left() {
-				instance.observeUnreachable(sentAt);
+				instance.recordUnreachable(sentAt);
 			},
 			Right: response => {
-				instance.observeReport(parseInstanceStatus(response), sentAt);
+				instance.recordReport(parseInstanceStatus(response), sentAt);
 				this.#updatePrimary(instance);
 			},
 		});
-		this.detector.observe(this.clock.getNow());
+		this.detector.updateFailureStart(this.clock.getNow());
 		this.confirmer.recheckPendingWrites();
 	}
 
@@ -135,9 +135,9 @@
 
 	#updatePrimary(instance: InstanceView): void {
 		if (instance.isPrimary) {
-			this.observePrimary(instance.term, instance.name);
+			this.recordPrimary(instance.term, instance.name);
 		} else if (instance.name === this.state.primaryName) {
-			this.state.observeTerm(instance.term);
+			this.state.recordTerm(instance.term);
 		}
 	}
 
--- a/packages/proxy/src/groups/promoter.ts
+++ b/packages/proxy/src/groups/promoter.ts
@@ -44,7 +44,7 @@
 		if (command.kind === 'promote') {
 			await this.#promoteInstance(group, command.instance, term);
 		} else if (command.kind === 'give-up') {
-			group.state.observeTerm(command.seenTerm);
+			group.state.recordTerm(command.seenTerm);
 		}
 	}
 
@@ -86,7 +86,7 @@
 				const result = await this.#fenceInstance(group, name, term);
 				result.ifRight(response => {
 					const status = response.status!;
-					resolveUnlessWaiting(round.observeAnswer({
+					resolveUnlessWaiting(round.handleFenceResponse({
 						instance: name, accepted: response.accepted, term: Number(status.term), position: parsePosition(status.position),
 					}, this.clock.getNow()));
 					setTimeout(() => {
@@ -113,7 +113,7 @@
 		const result = await control.promote(create(PromoteRequestSchema, {term: BigInt(term), promoter: this.id}), {timeoutMs: endpointTimeoutMs});
 		const isAccepted = result.map(response => response.accepted).orDefault(false);
 		if (isAccepted) {
-			group.observePrimary(term, name);
+			group.recordPrimary(term, name);
 			this.metrics.addCount('promotions');
 		}
 
--- a/packages/proxy/src/groups/write-confirmer.ts
+++ b/packages/proxy/src/groups/write-confirmer.ts
@@ -100,7 +100,7 @@
 		const request = create(ProbeRequestSchema, earliestMissing === undefined ? {} : {atLeast: formatPosition(earliestMissing), maxWaitMs: maxProbeWaitMs});
 		const status = await control.probe(request, {timeoutMs: maxProbeWaitMs * 2});
 		status.ifRight(response => {
-			instance.observeReport(parseInstanceStatus(response), sentAt);
+			instance.recordReport(parseInstanceStatus(response), sentAt);
 		});
 		return status.isRight();
 	}
--- a/packages/proxy/src/limits/lease-participant.ts
+++ b/packages/proxy/src/limits/lease-participant.ts
@@ -1,5 +1,5 @@
 import {
-	LeaseCandidate, type LeaseRound, LeaseVoter, type PromiseAnswer, type PromiseRequest,
+	LeaseCandidate, type LeaseRound, LeaseVoter, type PromiseResponse, type PromiseRequest,
 } from '@chicorysaddle/decisions';
 import {type Clock, type Logger} from '../observability/index.js';
 import {type ConfigurationReplica} from '../configuration/index.js';
@@ -7,7 +7,7 @@
 import {rankVms} from './rank-vms.js';
 
 /** Duration of a lease, in milliseconds. */
-export const leaseMs = 1500;
+export const leaseDurationMs = 1500;
 /** Time between two renewals of a lease, in milliseconds. */
 export const renewalIntervalMs = 600;
 /** Delay per rank of a candidate before it tries to acquire a vacant lease, in milliseconds; avoids competing attempts. */
@@ -18,12 +18,12 @@
 /** Acquires and renews one lease as a candidate, and votes on it for the other VMs. */
 export class LeaseParticipant {
 	readonly #voter: LeaseVoter;
-	readonly #candidate = new LeaseCandidate({durationMs: leaseMs, renewalMs: renewalIntervalMs, staggerMs});
+	readonly #candidate = new LeaseCandidate({durationMs: leaseDurationMs, renewalMs: renewalIntervalMs, staggerMs});
 	#onAcquired: (now: number) => void = () => undefined;
 	#predecessor = '';
 
 	constructor(readonly lease: string, private readonly membership: Membership, private readonly configuration: ConfigurationReplica, private readonly clock: Clock, private readonly logger: Logger) {
-		this.#voter = new LeaseVoter(clock.getNow(), leaseMs);
+		this.#voter = new LeaseVoter(clock.getNow(), leaseDurationMs);
 	}
 
 	/** VM and incarnation of this process. */
@@ -73,9 +73,9 @@
 	}
 
 	/** Answers a candidate's request; a candidate with an older configuration than this VM gets no promise, since it may not know all voters. */
-	handlePromiseRequest(request: PromiseRequest, configurationVersion: number): PromiseAnswer {
+	handlePromiseRequest(request: PromiseRequest, configurationVersion: number): PromiseResponse {
 		const now = this.clock.getNow();
-		this.#candidate.observeTerm(request.term - 1);
+		this.#candidate.recordTerm(request.term - 1);
 		return configurationVersion < this.configuration.version
 			? {
 				promised: false, holder: this.getHolder(now), term: this.term, remainingMs: 0,
@@ -85,7 +85,7 @@
 
 	/** Releases the promise that this VM made to a holder. */
 	releasePromise(holder: string): void {
-		this.#voter.release(holder);
+		this.#voter.releasePromise(holder);
 	}
 
 	/** Renews the lease if that is due, or tries to acquire it if it is vacant. */
@@ -97,7 +97,7 @@
 			return;
 		}
 
-		this.#candidate.observeVacancy(this.#voter.getHolder(now) === '', now);
+		this.#candidate.recordVacancy(this.#voter.getHolder(now) === '', now);
 		if (!this.#candidate.isRoundDue(now)) {
 			return;
 		}
@@ -117,7 +117,7 @@
 	async takeOver(predecessor: string, term: number): Promise<boolean> {
 		const now = this.clock.getNow();
 		this.#predecessor = predecessor;
-		this.#candidate.observeTerm(term);
+		this.#candidate.recordTerm(term);
 		await this.#runRound(this.#candidate.startTakeoverRound(now), this.configuration.current.getVoterNames());
 		this.#predecessor = '';
 		return this.isHeld(this.clock.getNow());
@@ -130,7 +130,7 @@
 
 	/** Releases the promises that the VMs made to this one. */
 	async releasePromises(): Promise<void> {
-		this.#voter.release(this.id);
+		this.#voter.releasePromise(this.id);
 		await Promise.all(this.membership.peers.map(async peer => {
 			try {
 				await peer.client.releaseLease({lease: this.lease, holder: this.id}, {timeoutMs: promiseTimeoutMs});
@@ -144,7 +144,7 @@
 		const wasHeld = this.isHeld(round.sentAt);
 		await Promise.all(voters.map(async voter => {
 			const isPromised = voter === this.membership.self.name ? this.#requestOwnPromise(round) : await this.#requestPromise(voter, round);
-			if (isPromised && this.#candidate.observePromise(round, voter, voters) && !wasHeld) {
+			if (isPromised && this.#candidate.recordPromise(round, voter, voters) && !wasHeld) {
 				const now = this.clock.getNow();
 				this.logger.info('lease gained', {lease: this.lease, term: round.term});
 				this.#onAcquired(now);
@@ -158,7 +158,7 @@
 
 	#createRequest(round: LeaseRound): PromiseRequest {
 		return {
-			holder: this.id, term: round.term, durationMs: leaseMs, predecessor: this.#predecessor,
+			holder: this.id, term: round.term, durationMs: leaseDurationMs, predecessor: this.#predecessor,
 		};
 	}
 
@@ -174,9 +174,9 @@
 				term: BigInt(round.term),
 				configurationVersion: BigInt(this.configuration.version),
 			}, {timeoutMs: promiseTimeoutMs});
-			this.#candidate.observeTerm(Number(response?.term ?? 0));
+			this.#candidate.recordTerm(Number(response?.term ?? 0));
 			if (response !== undefined && !response.promised && response.holder !== '') {
-				this.#candidate.observeRefusal(response.remainingMs, this.clock.getNow());
+				this.#candidate.recordRefusal(response.remainingMs, this.clock.getNow());
 			}
 
 			return response?.promised ?? false;
--- a/packages/proxy/src/membership/peer-state-exchange.ts
+++ b/packages/proxy/src/membership/peer-state-exchange.ts
@@ -106,7 +106,7 @@
 		}
 
 		if (response.incarnation !== peer.incarnation) {
-			freshness.removePeer(peer.name);
+			freshness.removePeerSync(peer.name);
 			peer.incarnation = response.incarnation;
 			peer.incarnationSince = sentAt;
 		}
@@ -126,11 +126,11 @@
 		}
 
 		if (response.synchronized) {
-			freshness.observePeerSync(peer.name, sentAt, configuration.current.getVoterNames());
+			freshness.recordPeerSync(peer.name, sentAt, configuration.current.getVoterNames());
 		}
 
 		if (response.storeWordAgeMs !== undefined) {
-			freshness.observeStoreSync(sentAt - response.storeWordAgeMs);
+			freshness.recordStoreSync(sentAt - response.storeWordAgeMs);
 		}
 	}
 
@@ -142,10 +142,10 @@
 			}
 
 			if (report.primary !== '') {
-				group.observePrimary(Number(report.term), report.primary);
+				group.recordPrimary(Number(report.term), report.primary);
 			}
 
-			group.detector.observeReport({
+			group.detector.recordReport({
 				vm: response.vm, term: Number(report.term), failingMs: report.failingMs, requestedAt: sentAt,
 			});
 		}
--- a/packages/proxy/src/requests/read-runner.ts
+++ b/packages/proxy/src/requests/read-runner.ts
@@ -106,15 +106,15 @@
 			Left(failure) {
 				placement.release(false);
 				if (failure.stage === 'unsent') {
-					placement.instance.observeUnreachable(sentAt);
+					placement.instance.recordUnreachable(sentAt);
 				}
 
-				read.group.observeFailure(placement.instance);
+				read.group.recordFailure(placement.instance);
 				return {kind: 'failed', isEndpointRefusal: false};
 			},
 			Right: response => {
-				placement.instance.observeLatency(durationMs);
-				read.group.observeResponse(placement.instance);
+				placement.instance.recordLatency(durationMs);
+				read.group.recordResponse(placement.instance);
 				placement.release(true);
 				return this.#checkResponse(read, placement, response, sentAt);
 			},
@@ -123,7 +123,7 @@
 
 	#checkResponse(read: ReadRequest, placement: Placement, response: ExecuteResponse, sentAt: number): AttemptResult {
 		const position = parsePosition(response.position);
-		placement.instance.observePosition(position, response.stalenessMs, sentAt);
+		placement.instance.recordPosition(position, response.stalenessMs, sentAt);
 		const isPrimary = placement.instance.name === read.group.state.primaryName;
 		const isFreshEnough = read.maxStalenessMs === 0 || isPrimary || response.stalenessMs <= read.maxStalenessMs;
 		const isUsable = response.outcome === Outcome.DONE && isAtLeast(position, read.watermark.position) && isFreshEnough;
--- a/packages/proxy/src/requests/request-runner.ts
+++ b/packages/proxy/src/requests/request-runner.ts
@@ -60,7 +60,7 @@
 			return Left({refusal: admitted.extract(), session: ''});
 		}
 
-		this.dependencies.retryBudget.observeRequest();
+		this.dependencies.retryBudget.recordRequest();
 		const result = route.access === 'read'
 			? await this.#runRead(request, validated.unsafeCoerce(), context)
 			: await this.#runWrite(request, validated.unsafeCoerce(), context);
@@ -136,12 +136,12 @@
 					return {refusal, session: ''};
 				}
 
-				session.observeUnknownWrite(route.group);
+				session.recordUnknownWrite(route.group);
 				return {refusal, session: sessions.formatToken(session, caller.account)};
 			},
 			response => {
 				metrics.addCount(`served.${response.servedBy}`);
-				session.observePosition(route.group, response.position, response.servedBy === 'primary');
+				session.recordPosition(route.group, response.position, response.servedBy === 'primary');
 				return {response, session: sessions.formatToken(session, caller.account)};
 			},
 		);
--- a/packages/proxy/src/requests/write-runner.ts
+++ b/packages/proxy/src/requests/write-runner.ts
@@ -107,15 +107,15 @@
 			const failure = result.swap().unsafeCoerce();
 			placement.release(false);
 			if (failure.stage === 'unsent') {
-				placement.instance.observeUnreachable(sentAt);
+				placement.instance.recordUnreachable(sentAt);
 			}
 
-			group.observeFailure(placement.instance);
+			group.recordFailure(placement.instance);
 			return {kind: 'failed', stage: failure.stage};
 		}
 
-		placement.instance.observeLatency(durationMs);
-		group.observeResponse(placement.instance);
+		placement.instance.recordLatency(durationMs);
+		group.recordResponse(placement.instance);
 		placement.release(true);
 		return this.#checkResponse(write, placement, term, result.unsafeCoerce(), context);
 	}
@@ -143,7 +143,7 @@
 	async #waitForConfirmation(write: WriteRequest, placement: Placement, term: number, response: ExecuteResponse, context: RequestContext): Promise<AttemptResult> {
 		const {clock, metrics} = this.dependencies;
 		const position = parsePosition(response.position);
-		placement.instance.observePosition(position, 0, clock.getNow());
+		placement.instance.recordPosition(position, 0, clock.getNow());
 		if (this.dependencies.acknowledge === 'at-once') {
 			return {kind: 'answered', response: parseEndpointResponse(response, true)};
 		}
--- a/packages/proxy/src/transactions/transaction-runner.ts
+++ b/packages/proxy/src/transactions/transaction-runner.ts
@@ -122,11 +122,11 @@
 					return {refusal, session: ''};
 				}
 
-				session.observeUnknownWrite(transaction.groupName);
+				session.recordUnknownWrite(transaction.groupName);
 				return {refusal, session: sessions.formatToken(session, account)};
 			},
 			response => {
-				session.observePosition(transaction.groupName, response.position, true);
+				session.recordPosition(transaction.groupName, response.position, true);
 				return {response, session: sessions.formatToken(session, account)};
 			},
 		);
@@ -156,7 +156,7 @@
 		}
 
 		registry.removeTransaction(transaction, false);
-		transaction.group.observeFailure(transaction.placement.instance);
+		transaction.group.recordFailure(transaction.placement.instance);
 		return Left(refusals.noPrimary(transaction.groupName));
 	}
 
--- a/packages/testkit/src/capacity/main.ts
+++ b/packages/testkit/src/capacity/main.ts
@@ -115,7 +115,7 @@
 	const voters = Array.from({length: 2700}, (_, index) => `vm-${index}`);
 	const freshness = new FreshnessTracker('vm-0', 2500, 0);
 	for (const voter of voters) {
-		freshness.observePeerSync(voter, 10, []);
+		freshness.recordPeerSync(voter, 10, []);
 	}
 
 	return [{
