--- a/packages/testkit/src/bench/main.ts
+++ b/packages/testkit/src/bench/main.ts
@@ -90,7 +90,7 @@
 	idleConnectionKb,
 };
 process.stdout.write(`${JSON.stringify(statistics, undefined, '\t')}\n`);
-process.stdout.write(`throughput ${(statistics.proxy.perSecond / statistics.bare.perSecond).toFixed(2)} of a bare connect server; added p50 ${(statistics.proxyOneByOne.p50Ms - statistics.direct.p50Ms).toFixed(2)} ms, p99 ${(statistics.proxyOneByOne.p99Ms - statistics.direct.p99Ms).toFixed(2)} ms; ${statistics.idleConnectionKb.toFixed(1)} KB an idle connection\n`);
+process.stdout.write(`throughput ${(statistics.proxy.perSecond / statistics.bare.perSecond).toFixed(2)} times that of a bare Connect server; added latency p50 ${(statistics.proxyOneByOne.p50Ms - statistics.direct.p50Ms).toFixed(2)} ms, p99 ${(statistics.proxyOneByOne.p99Ms - statistics.direct.p99Ms).toFixed(2)} ms; memory per idle connection ${statistics.idleConnectionKb.toFixed(1)} KB\n`);
 vm.kill();
 bareServer.child.kill();
 fakeServers.child.kill();
--- a/packages/testkit/src/capacity/main.ts
+++ b/packages/testkit/src/capacity/main.ts
@@ -72,10 +72,10 @@
 		});
 	});
 	return [
-		{name: 'memory of a client account', value: accountBytes, unit: 'B'},
-		{name: 'memory of a key', value: keyBytes, unit: 'B'},
-		{name: 'memory of an endpoint', value: measureHeapBytes(count, createConfiguration(createRows('endpoint', count))), unit: 'B'},
-		{name: 'CPU to apply a change of one row', value: changeMicroseconds, unit: 'us'},
+		{name: 'memory per client account', value: accountBytes, unit: 'B'},
+		{name: 'memory per key', value: keyBytes, unit: 'B'},
+		{name: 'memory per endpoint', value: measureHeapBytes(count, createConfiguration(createRows('endpoint', count))), unit: 'B'},
+		{name: 'CPU time to apply a change of one row', value: changeMicroseconds, unit: 'us'},
 	];
 }
 
@@ -105,9 +105,9 @@
 		admission.requestAdmission(index, 'a', index, index);
 	});
 	return [
-		{name: 'memory of the allocator, an account and VM', value: allocatorBytes, unit: 'B'},
-		{name: 'CPU of the allocator, a report of one account from one of 7 VMs', value: reportMicroseconds, unit: 'us'},
-		{name: 'CPU of one admission', value: admissionMicroseconds, unit: 'us'},
+		{name: 'allocator memory per account and VM', value: allocatorBytes, unit: 'B'},
+		{name: 'allocator CPU time per account in the report of one of 7 VMs', value: reportMicroseconds, unit: 'us'},
+		{name: 'CPU time per admission', value: admissionMicroseconds, unit: 'us'},
 	];
 }
 
@@ -119,7 +119,7 @@
 	}
 
 	return [{
-		name: 'CPU of one check of freshness by majority, a voter', value: measureMicroseconds(50, () => {
+		name: 'CPU time of a majority freshness check, per voter', value: measureMicroseconds(50, () => {
 			freshness.isFresh(voters, 20);
 		}) / voters.length, unit: 'us',
 	}];
@@ -172,13 +172,13 @@
 const smallCluster = await measureCluster(3);
 const largeCluster = await measureCluster(7);
 unitCosts.push(
-	{name: 'control CPU of a VM among 7, idle', value: largeCluster.cpuPercent, unit: '% of a core'},
-	{name: 'control CPU of a VM, a peer', value: (largeCluster.cpuPercent - smallCluster.cpuPercent) / 4, unit: '% of a core'},
-	{name: 'peer traffic of a VM among 7, both ways', value: largeCluster.peerBytes, unit: 'B/s'},
-	{name: 'peer traffic of a VM, a peer', value: (largeCluster.peerBytes - smallCluster.peerBytes) / 4, unit: 'B/s'},
-	{name: 'probe traffic of a VM among 7, 9 instances', value: largeCluster.probeBytes, unit: 'B/s'},
-	{name: 'store reads of a VM', value: largeCluster.storeReads, unit: '/s'},
-	{name: 'resident memory of an idle VM', value: largeCluster.memoryMb, unit: 'MB'},
+	{name: 'control CPU per VM in an idle cluster of 7 VMs', value: largeCluster.cpuPercent, unit: '% of a core'},
+	{name: 'control CPU per VM and peer', value: (largeCluster.cpuPercent - smallCluster.cpuPercent) / 4, unit: '% of a core'},
+	{name: 'peer traffic per VM in an idle cluster of 7 VMs, sent and received', value: largeCluster.peerBytes, unit: 'B/s'},
+	{name: 'peer traffic per VM and peer', value: (largeCluster.peerBytes - smallCluster.peerBytes) / 4, unit: 'B/s'},
+	{name: 'probe traffic per VM in an idle cluster of 7 VMs and 9 instances', value: largeCluster.probeBytes, unit: 'B/s'},
+	{name: 'store reads per VM', value: largeCluster.storeReads, unit: '/s'},
+	{name: 'resident memory per idle VM', value: largeCluster.memoryMb, unit: 'MB'},
 );
 for (const {name, value, unit} of unitCosts) {
 	process.stdout.write(`${name}: ${value.toPrecision(3)} ${unit}\n`);
--- a/packages/testkit/src/measure/main.ts
+++ b/packages/testkit/src/measure/main.ts
@@ -27,11 +27,11 @@
 	const violated = Object.entries(measurement.violations).filter(([, times]) => times > 0);
 	process.stdout.write(`${[
 		`${measurement.deployment} ${measurement.scenario} seed ${measurement.seed} policy ${measurement.policy}`,
-		`  requests ${measurement.requests}, refused ${measurement.refused} ${JSON.stringify(measurement.refusals)}`,
-		`  replica read share ${measurement.replicaReadShare.toFixed(3)}, failover gap ${measurement.failoverGapMs} ms`,
-		`  worst served account ${measurement.worstServedAccountShare.toFixed(4)}, refused inside rate ${measurement.refusedInsideRate.toFixed(4)}`,
+		`  requests ${measurement.requests}, refused ${measurement.refused}, refusals and failed connections by kind ${JSON.stringify(measurement.refusals)}`,
+		`  share of reads served by replicas ${measurement.replicaReadShare.toFixed(3)}, failover gap ${measurement.failoverGapMs} ms`,
+		`  served share of the worst served account ${measurement.worstServedAccountShare.toFixed(4)}, share refused within rate limits ${measurement.refusedInsideRate.toFixed(4)}`,
 		`  latency p50 ${measurement.latencyMs.p50.toFixed(1)} p99 ${measurement.latencyMs.p99.toFixed(1)} max ${measurement.latencyMs.max.toFixed(0)} ms`,
-		`  a VM's core ${(measurement.vmCpuShare * 100).toFixed(1)}%, store reads ${measurement.storeReads.toFixed(1)}/s writes ${measurement.storeWrites.toFixed(1)}/s`,
+		`  CPU per VM ${(measurement.vmCpuShare * 100).toFixed(1)}% of a core, store reads ${measurement.storeReads.toFixed(1)}/s, store writes ${measurement.storeWrites.toFixed(1)}/s`,
 		`  violations ${violated.length === 0 ? 'none' : JSON.stringify(Object.fromEntries(violated))}`,
 	].join('\n')}\n`);
 }
@@ -58,13 +58,13 @@
 }
 
 sade('measure', true)
-	.describe('Runs seven daemons with stand-ins and a load of eight accounts, and prints figures and violations.')
+	.describe('Runs seven daemons against a fake platform and fake instances under the load of eight accounts, and prints statistics and violations.')
 	.option('--deployment', 'humidis or cathair', 'humidis')
 	.option('--scenario', Object.keys(scenarios).join(', '), 'steady')
-	.option('--seconds', 'Duration of the load', 20)
-	.option('--seed', 'Seed of every random choice', 1)
-	.option('--policy', `Policies to run one after another, with commas between: ${policyNames.join(', ')}`, 'product')
-	.option('--offered', 'Calls offered, as a multiple of each account\'s rate')
-	.option('--json', 'File to write the figures to')
+	.option('--seconds', 'Duration of the load, in seconds', 20)
+	.option('--seed', 'Seed of the random number generators', 1)
+	.option('--policy', `Comma-separated list of policies to measure, one after another: ${policyNames.join(', ')}`, 'product')
+	.option('--offered', 'Offered load, as a multiple of each account\'s rate limit; chosen by the scenario if absent')
+	.option('--json', 'File to write the results to, as JSON')
 	.action(runMeasurements)
 	.parse(process.argv);
