--- a/packages/cli/src/commands/command-context.ts
+++ b/packages/cli/src/commands/command-context.ts
@@ -23,8 +23,9 @@
 	/** Address of an operator port as host:port. */
 	readonly proxy?: string;
 	readonly token?: string;
+	/** Whether the result is printed as one JSON object. */
 	readonly json?: boolean;
-	/** Longest wait until a change is in force on every VM, in seconds. */
+	/** Maximum wait until a change is in force on every VM, in seconds. */
 	readonly wait?: number;
 };
 
--- a/packages/cli/src/commands/row-commands.ts
+++ b/packages/cli/src/commands/row-commands.ts
@@ -8,7 +8,7 @@
 
 const keyLengthBytes = 24;
 
-/** Flags of the commands that set limits. */
+/** Flags of the commands that set limits: rate in requests per second, burst in requests. */
 export type LimitFlags = CommonFlags & {readonly rate?: number; readonly burst?: number; readonly weight?: number};
 
 /** Flags of the commands that set endpoints. */
@@ -30,7 +30,7 @@
 	return exitCodes.invalidInput;
 }
 
-/** Creates an account. */
+/** Creates a client account and returns the exit code. */
 export async function createAccount(name: string, flags: LimitFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'account', name);
 	if (value !== undefined) {
@@ -43,7 +43,7 @@
 		: context.applyRows([formatRow('account', name, {rate: Number(rate), burst: Number(burst), weight: Number(weight)})], `create client account ${name}`, version);
 }
 
-/** Changes the limits of an account; limits without a flag stay. */
+/** Changes the limits of a client account and returns the exit code; limits without a flag stay. */
 export async function setAccountLimits(name: string, flags: LimitFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'account', name);
 	return value === undefined
@@ -53,7 +53,7 @@
 		})], `limit client account ${name}`, version);
 }
 
-/** Creates a key for an account. The key is printed once; only its hash is stored. */
+/** Creates a key for a client account and returns the exit code. The key is printed once; only its hash is stored. */
 export async function createKey(account: string, flags: CommonFlags & {readonly label?: string}): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'account', account);
 	if (value === undefined) {
@@ -67,7 +67,7 @@
 }
 
 /**
- * Withdraws a key.
+ * Withdraws a key and returns the exit code.
  * @param key - The key, or "sha256:" and its hash.
  */
 export async function withdrawKey(key: string, flags: CommonFlags): Promise<number> {
@@ -76,7 +76,7 @@
 	return value === undefined ? reportInvalidInput('no such key in the configuration; expected a key or "sha256:" and its hash') : context.applyRows([formatRow('key', hash, undefined)], `withdraw a key of ${value.account}`, version);
 }
 
-/** Adds an endpoint, or makes an existing one active again; fields without a flag stay. */
+/** Adds an endpoint, or makes an existing one active again, and returns the exit code; fields without a flag stay. */
 export async function addEndpoint(name: string, flags: EndpointFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'endpoint', name);
 	const endpoint: Partial<Endpoint> = {
@@ -91,7 +91,7 @@
 	return context.applyRows([formatRow('endpoint', name, endpoint as Endpoint)], `endpoint ${name} joins`, version);
 }
 
-/** Marks an endpoint as leaving, so that it gets no new work. */
+/** Marks an endpoint as leaving, so that it gets no new work, and returns the exit code. */
 export async function drainEndpoint(name: string, flags: CommonFlags): Promise<number> {
 	const {context, version, value} = await readRow(flags, 'endpoint', name);
 	return value === undefined ? reportInvalidInput(`no endpoint "${name}"`) : context.applyRows([formatRow('endpoint', name, {...value, state: 'leaving'})], `endpoint ${name} leaves`, version);
--- a/packages/cli/src/commands/sheet-commands.ts
+++ b/packages/cli/src/commands/sheet-commands.ts
@@ -28,7 +28,7 @@
 	return `${action} ${row.key}${before === undefined ? '' : ` from ${before}`}${row.value === undefined ? '' : ` to ${row.value}`}`;
 }
 
-/** Checks a sheet without a proxy. */
+/** Checks a sheet without a proxy and returns the exit code. */
 export async function checkSheetFile(file: string, flags: CommonFlags): Promise<number> {
 	const sheet = await readSheet(file);
 	return sheet.caseOf({
@@ -40,7 +40,7 @@
 	});
 }
 
-/** Prints the changes that a sheet would make. */
+/** Prints the changes that a sheet would make and returns the exit code. */
 export async function planSheetFile(file: string, flags: CommonFlags): Promise<number> {
 	return runWithPlan(file, flags, async (context, version, changes) => {
 		context.printResult({result: 'planned', version, changes}, [`${changes.length} changes against version ${version}`, ...changes.map(change => formatChange(change))]);
@@ -48,7 +48,7 @@
 	});
 }
 
-/** Applies a sheet atomically. */
+/** Applies a sheet atomically, waits until it is in force on every VM, and returns the exit code. */
 export async function applySheetFile(file: string, flags: CommonFlags): Promise<number> {
 	return runWithPlan(file, flags, async (context, version, changes) => context.applyRows(changes.map(({row}) => row), `sheet ${file}`, version, {changes: changes.length}));
 }
--- a/packages/cli/src/commands/top-command.ts
+++ b/packages/cli/src/commands/top-command.ts
@@ -18,19 +18,19 @@
 	return '#'.repeat(filled).padEnd(barLength, '.');
 }
 
-/** Returns the growth of a counter, per second. */
-function getRatePerSecond(current: bigint, previous: bigint | undefined, seconds: number): number {
+/** Computes the growth of a counter per second; zero without a previous value. */
+function computeRatePerSecond(current: bigint, previous: bigint | undefined, seconds: number): number {
 	return previous === undefined ? 0 : Number(current - previous) / seconds;
 }
 
-/** Formats a status of a VM, with rates since its previous status. */
+/** Formats the status of a VM as lines, with rates per second since its previous status; the rates are zero without one. */
 export function formatTopView(status: GetStatusResponse, previousStatus: GetStatusResponse | undefined, intervalSeconds: number): string[] {
 	const accounts = status.accounts.map(account => {
 		const previousAccount = previousStatus?.accounts.find(other => other.account === account.account);
 		return {
 			name: account.account,
-			served: getRatePerSecond(account.served, previousAccount?.served, intervalSeconds),
-			refused: getRatePerSecond(account.refused, previousAccount?.refused, intervalSeconds),
+			served: computeRatePerSecond(account.served, previousAccount?.served, intervalSeconds),
+			refused: computeRatePerSecond(account.refused, previousAccount?.refused, intervalSeconds),
 			tokens: account.tokens,
 		};
 	});
@@ -47,7 +47,7 @@
 	];
 }
 
-/** Shows a live view of one VM, refreshed until the process ends or all rounds are printed. */
+/** Shows a live view of one VM, refreshed until the process ends or all rounds are printed, and returns the exit code. */
 export async function showTopView(flags: TopFlags): Promise<number> {
 	const context = new CommandContext(flags);
 	const intervalSeconds = Number(flags.every ?? 2);
--- a/packages/cli/src/commands/view-commands.ts
+++ b/packages/cli/src/commands/view-commands.ts
@@ -1,6 +1,6 @@
 import {CommandContext, type CommonFlags, exitCodes} from './command-context.js';
 
-/** Prints all accounts, or one account with the hashes of its keys. */
+/** Prints all client accounts, or one with the hashes of its keys, and returns the exit code. */
 export async function showAccounts(flags: CommonFlags, name?: string): Promise<number> {
 	const context = new CommandContext(flags);
 	const {version, rows} = await context.client.getConfiguration({});
@@ -16,7 +16,7 @@
 	return exitCodes.success;
 }
 
-/** Prints the state of a proxy, and of the other VMs as it sees them. */
+/** Prints the state of a proxy, and of the other VMs as it sees them, and returns the exit code. */
 export async function showStatus(flags: CommonFlags): Promise<number> {
 	const context = new CommandContext(flags);
 	const status = await context.client.getStatus({});
@@ -29,7 +29,7 @@
 	return exitCodes.success;
 }
 
-/** Prints the configuration in force. */
+/** Prints the configuration in force and returns the exit code. */
 export async function showConfiguration(flags: CommonFlags): Promise<number> {
 	const context = new CommandContext(flags);
 	const {version, rows} = await context.client.getConfiguration({});
@@ -37,7 +37,7 @@
 	return exitCodes.success;
 }
 
-/** Prints the latest changes. */
+/** Prints the latest changes of the configuration and returns the exit code. */
 export async function showHistory(flags: CommonFlags & {readonly limit?: number}): Promise<number> {
 	const context = new CommandContext(flags);
 	const {changes} = await context.client.getHistory({limit: Number(flags.limit ?? 20)});
--- a/packages/cli/src/explain/explain-request.ts
+++ b/packages/cli/src/explain/explain-request.ts
@@ -9,7 +9,7 @@
 /** Time before the first line of a request in which causes are searched, in milliseconds; longer than a failover. */
 const causeLookbackMs = 6000;
 
-/** Time after the last line in which causes are searched, in milliseconds: the end of a fault helps to explain it, too. */
+/** Time after the last line in which causes are searched, in milliseconds; the end of a fault also helps to explain the response. */
 const causeLookaheadMs = 1500;
 
 function isPossibleCause(line: LogLine, vms: ReadonlySet<string>, group: unknown): boolean {
@@ -22,7 +22,7 @@
 	return lineGroup === undefined || group === undefined || lineGroup === group;
 }
 
-/** Returns a key of a line's connection that is unique over all VMs, undefined for a line without a connection. */
+/** Returns a key of a line's connection that is unique over all VMs, or undefined for a line without a connection. */
 function getConnectionKey(line: LogLine): string | undefined {
 	const {connection} = line.fields;
 	return typeof connection === 'string' ? `${line.vm} ${connection}` : undefined;
--- a/packages/cli/src/operator/apply-change.ts
+++ b/packages/cli/src/operator/apply-change.ts
@@ -6,7 +6,7 @@
 
 /** A change of the configuration to apply. */
 export type ChangeRequest = {
-	/** Version that the change was planned against. */
+	/** Version that the change was planned against; a later one is a conflict. */
 	readonly expectedVersion: bigint;
 	readonly author: string;
 	readonly summary: string;
@@ -19,12 +19,12 @@
 	| {readonly kind: 'in-force'; readonly version: bigint; readonly vms: readonly string[]}
 	/** Committed, but not in force on some VMs when the wait timed out. */
 	| {readonly kind: 'pending'; readonly version: bigint; readonly vms: readonly string[]; readonly pending: readonly string[]}
-	/** Not applied, as another change was committed first. */
+	/** Not applied, as another change was committed first; `other` is undefined when the proxy does not name that change. */
 	| {readonly kind: 'conflict'; readonly version: bigint; readonly other: ConfigurationChange | undefined};
 
 /** Options of the wait for a change. */
 export type ApplyOptions = {
-	/** Longest wait for the change to be in force, in milliseconds. */
+	/** Maximum wait until the change is in force on every known VM, in milliseconds. */
 	readonly waitTimeoutMs: number;
 	/** Called after each poll with the number of VMs on which the change is in force, and the number of known VMs. */
 	onProgress(inForce: number, total: number): void;
--- a/packages/cli/src/sheet/plan-sheet.ts
+++ b/packages/cli/src/sheet/plan-sheet.ts
@@ -9,14 +9,14 @@
 export type PlannedChange = {
 	readonly row: StoredRow;
 	readonly action: 'add' | 'change' | 'remove';
-	/** Value in force as JSON, absent when the row is added. */
+	/** Value in force as JSON; undefined when the row is added. */
 	readonly before?: string | undefined;
 };
 
 const hashPrefix = 'sha256:';
 
 /**
- * Returns the hash under which a key is stored.
+ * Returns the hash under which a key is stored: SHA-256 in hexadecimal.
  * @param keyOrHash - The key, or "sha256:" and its hash.
  */
 export function getKeyHash(keyOrHash: string): string {
--- a/packages/cli/src/sheet/sheet-columns.ts
+++ b/packages/cli/src/sheet/sheet-columns.ts
@@ -21,7 +21,7 @@
 	endpoint: ['active', 'joining', 'leaving', 'gone'],
 };
 
-/** Says whether a string is a kind of row. */
+/** Returns whether a string is a kind of row. */
 export function isSheetRowKind(value: string): value is SheetRowKind {
 	return Object.hasOwn(requiredColumns, value);
 }
