--- a/packages/testkit/src/bench/main.ts
+++ b/packages/testkit/src/bench/main.ts
@@ -18,6 +18,7 @@
 const runBody = JSON.stringify({route: 'bench.get', parameters: {key: 'k'}});
 const runHeaders = {'content-type': 'application/json', authorization: 'Bearer csk_bench'};
 
+/** Requests per second, requests per second of CPU time, and latencies in milliseconds. */
 type LoadStatistics = {readonly perSecond: number; readonly perCoreSecond: number; readonly p50Ms: number; readonly p99Ms: number};
 
 async function startChild(file: string): Promise<{child: ChildProcess; message: unknown}> {
--- a/packages/testkit/src/capacity/main.ts
+++ b/packages/testkit/src/capacity/main.ts
@@ -17,7 +17,7 @@
 	return process.memoryUsage().heapUsed;
 }
 
-/** Measures the heap size of one of `count` items, in bytes. */
+/** Measures the mean heap size of an item, in bytes, when `create` returns `count` items. */
 function measureHeapBytes(count: number, create: () => unknown): number {
 	const before = getHeapBytes();
 	const retained = create();
@@ -140,6 +140,7 @@
 	await cluster.stop();
 	const perVmSecond = (from: number, to: number) => (to - from) / vms / (windowMs / 1000);
 	return {
+		// 10 ms of CPU time per second are 1% of a core.
 		cpuPercent: perVmSecond(before.cpuMs, after.cpuMs) / 10,
 		peerBytes: perVmSecond(before.peerBytes, after.peerBytes),
 		probeBytes: perVmSecond(before.probeBytes, after.probeBytes),
@@ -171,6 +172,7 @@
 const unitCosts: UnitCost[] = [...measureConfiguration(), ...measureAllocator(), ...measureFreshness()];
 const smallCluster = await measureCluster(3);
 const largeCluster = await measureCluster(7);
+// The large cluster has four more peers per VM than the small one.
 unitCosts.push(
 	{name: 'control CPU per VM in an idle cluster of 7 VMs', value: largeCluster.cpuPercent, unit: '% of a core'},
 	{name: 'control CPU per VM and peer', value: (largeCluster.cpuPercent - smallCluster.cpuPercent) / 4, unit: '% of a core'},
--- a/packages/testkit/src/cluster/cluster.ts
+++ b/packages/testkit/src/cluster/cluster.ts
@@ -13,6 +13,7 @@
 
 /** Options of a cluster. */
 export type ClusterOptions = {
+	/** Number of VMs. */
 	readonly vms: number;
 	readonly deployment: FakeDeploymentOptions;
 	readonly accounts: readonly InitialAccount[];
@@ -21,6 +22,7 @@
 	readonly peerLatencyMs: number;
 	/** Delay until a change is visible in the platform's VM list, in milliseconds. */
 	readonly vmListLagMs: number;
+	/** Whether the groups record request ids; true by default. */
 	readonly recordsRequestIds?: boolean;
 };
 
@@ -28,7 +30,7 @@
 
 const operatorToken = 'operator-token-of-the-tests';
 const peerSecret = 'peer-secret-of-the-tests';
-const readinessPollMs = 250;
+const readinessPollIntervalMs = 250;
 
 /** Daemon processes in front of a fake deployment, connected by links with latency and faults. */
 export class Cluster {
@@ -57,11 +59,12 @@
 		await Promise.all(cluster.vms.map(async vm => cluster.startVm(vm)));
 		cluster.#readinessTimer = setInterval(() => {
 			void cluster.#pollReadiness();
-		}, readinessPollMs);
+		}, readinessPollIntervalMs);
 		await cluster.waitUntilReady();
 		return cluster;
 	}
 
+	/** Starts the daemon of a VM and waits until its ports are bound; the platform's VM list changes after the configured lag. */
 	async startVm(vm: VmProcess): Promise<void> {
 		const file = path.join(this.#settingsFolder, `${vm.name}.toml`);
 		await writeFile(file, this.#formatSettings(vm));
@@ -114,7 +117,7 @@
 		return this.vms.filter(vm => vm.isReady);
 	}
 
-	/** Waits until every VM is ready; throws after the timeout. */
+	/** Waits until every VM is ready; throws after a timeout, in milliseconds. */
 	async waitUntilReady(timeoutMs = 30_000): Promise<void> {
 		const deadline = performance.now() + timeoutMs;
 		while (this.vms.some(vm => !vm.isReady)) {
@@ -201,7 +204,7 @@
 			}
 
 			try {
-				const response = await fetch(`http://${vm.address}:${vm.ports.operator}/readyz`, {signal: AbortSignal.timeout(readinessPollMs * 2)});
+				const response = await fetch(`http://${vm.address}:${vm.ports.operator}/readyz`, {signal: AbortSignal.timeout(readinessPollIntervalMs * 2)});
 				await response.text();
 				vm.isReady = response.ok;
 			} catch {
--- a/packages/testkit/src/cluster/vm-process.ts
+++ b/packages/testkit/src/cluster/vm-process.ts
@@ -24,12 +24,15 @@
 export class VmProcess {
 	state: VmState = 'starting';
 	ports: VmPorts = {caller: 0, peer: 0, operator: 0};
+	/** Whether the daemon reported readiness at the last poll. */
 	isReady = false;
+	/** Lines that the daemon has written to standard output. */
 	readonly logs: string[] = [];
 	#child: ChildProcess | undefined;
 
 	constructor(readonly name: string, readonly zone: string, readonly address: string) {}
 
+	/** Process id of the daemon; zero before its first start. */
 	get pid(): number {
 		return this.#child?.pid ?? 0;
 	}
--- a/packages/testkit/src/embedded/bootstrap.ts
+++ b/packages/testkit/src/embedded/bootstrap.ts
@@ -4,7 +4,7 @@
 import {hashKey} from '@chicorysaddle/proxy';
 import {type FakeDeployment} from '../fakes/index.js';
 
-/** Account of the first configuration version. */
+/** Account of the first configuration version; its rate is in calls per second, its burst in calls. */
 export type InitialAccount = {readonly name: string; readonly rate: number; readonly burst: number; readonly key: string};
 
 /** Contents of the first configuration version besides the endpoints and routes. */
--- a/packages/testkit/src/fakes/fake-deployment.ts
+++ b/packages/testkit/src/fakes/fake-deployment.ts
@@ -8,11 +8,12 @@
 export type FakeDeploymentOptions = {
 	readonly groups: readonly string[];
 	readonly zones: readonly string[];
-	/** Maximum of concurrent statements per instance. */
+	/** Maximum number of concurrent statements per instance. */
 	readonly slots: number;
-	/** Maximum of open connections per instance. */
+	/** Maximum number of open connections per instance. */
 	readonly connections: number;
 	readonly timing?: EndpointTiming;
+	/** Seed of the execution times; 1 by default. */
 	readonly seed?: number;
 };
 
--- a/packages/testkit/src/fakes/fake-endpoint-server.ts
+++ b/packages/testkit/src/fakes/fake-endpoint-server.ts
@@ -15,6 +15,7 @@
 
 /** Record of a request that an endpoint executed. */
 export type EndpointEvent = {
+	/** Time of the execution, in milliseconds on the monotonic clock. */
 	readonly at: number;
 	readonly instance: string;
 	readonly term: number;
@@ -35,6 +36,7 @@
 	readonly minServiceMs: number;
 	/** Additional time of the first request on a connection. */
 	readonly connectMs: number;
+	/** Additional time of every request. */
 	readonly roundTripMs: number;
 };
 
@@ -43,7 +45,7 @@
 type ConnectionState = {isEstablished: boolean; transaction: OpenTransaction | undefined};
 
 const maxSlotWaitMs = 1500;
-const positionPollMs = 2;
+const positionPollIntervalMs = 2;
 
 async function delay(durationMs: number): Promise<void> {
 	if (durationMs <= 0) {
@@ -59,7 +61,7 @@
 export class FakeEndpointServer {
 	/** Called after each executed request. */
 	onEvent: (event: EndpointEvent) => void = () => undefined;
-	/** Whether the next `Execute` request runs but its connection closes before the response. */
+	/** Whether the connection of the next `Execute` request closes after the request has run and before the response. */
 	isNextResponseLost = false;
 	/** Source addresses whose connections and requests are dropped. */
 	readonly blockedSources = new Set<string>();
@@ -69,6 +71,7 @@
 	readonly #connections = new Map<Socket, ConnectionState>();
 	readonly #slotWaiters: Array<() => void> = [];
 
+	/** @param getRandom - Returns a uniformly distributed number, at least 0 and below 1. */
 	constructor(readonly instance: FakeInstance, private readonly timing: EndpointTiming, private readonly getRandom: () => number) {}
 
 	get address(): string {
@@ -274,7 +277,7 @@
 				return false;
 			}
 
-			await delay(positionPollMs);
+			await delay(positionPollIntervalMs);
 		}
 
 		return true;
--- a/packages/testkit/src/fakes/fake-instance.ts
+++ b/packages/testkit/src/fakes/fake-instance.ts
@@ -7,8 +7,10 @@
 export type LogEntry = {
 	readonly position: LogPosition;
 	readonly operations: readonly WriteOperation[];
+	/** Id under which the request is recorded; empty if it is not. */
 	readonly recordId: string;
 	readonly bodyHash: string;
+	/** Time of the write, in milliseconds on the monotonic clock. */
 	readonly writtenAt: number;
 };
 
@@ -27,8 +29,9 @@
 	lagMs = 5;
 	/** Whether the log is known to be a prefix of the log of the primary of the current term. */
 	isSynced = true;
+	/** Time of the last replication from a primary, in milliseconds on the monotonic clock. */
 	lastPrimaryContactAt = 0;
-	/** Time up to which the log contains every write of the primary. */
+	/** Time up to which the log contains every write of the primary, in milliseconds on the monotonic clock. */
 	syncedAt = 0;
 	/** Number of slots in use. */
 	runningCount = 0;
@@ -42,10 +45,12 @@
 		return this.log.at(-1)?.position ?? logStart;
 	}
 
+	/** Returns the value of a row; empty if the row does not exist. */
 	getValue(key: string): string {
 		return this.#data.get(key) ?? '';
 	}
 
+	/** Returns the log entry of a recorded request, or undefined if there is none. */
 	getRecord(recordId: string): LogEntry | undefined {
 		return recordId === '' ? undefined : this.#records.get(recordId);
 	}
--- a/packages/testkit/src/history/check-history.ts
+++ b/packages/testkit/src/history/check-history.ts
@@ -8,7 +8,7 @@
 const inForceDeadlineMs = 8000;
 /** Prefix of every key in tests. */
 const keyPrefix = 'csk_';
-/** Absorbs floating-point errors, in calls. */
+/** Tolerance for floating-point errors, in calls. */
 const callCountTolerance = 1e-6;
 
 /** Returns the number of violations of one invariant. */
@@ -31,6 +31,7 @@
 	return history.calls.filter(call => call.tag !== '' && isAnswered(call) && call.action !== 'statement');
 }
 
+/** Counts how often each tag occurs in the final logs. */
 function countFinalTags(history: History): Map<string, number> {
 	const counts = new Map<string, number>();
 	for (const log of history.finalPrimaryLogs.values()) {
@@ -44,7 +45,7 @@
 	return counts;
 }
 
-/** A commit has the tag of its transaction; its statements have that tag followed by `:` and a number. */
+/** Returns whether a tag is that of a transaction or of one of its statements, which have the tag of the transaction followed by `:` and a number. */
 function isTagOfTransaction(tag: string, transactionTag: string): boolean {
 	return tag === transactionTag || tag.startsWith(`${transactionTag}:`);
 }
@@ -56,6 +57,7 @@
 	});
 }
 
+/** Counts acknowledged writes that are missing from the final log and ran after a request of a higher term in their group. */
 function checkFormerPrimaryAck(history: History): number {
 	const finalTags = countFinalTags(history);
 	const termEventsByGroup = new Map<string, Array<{at: number; term: number}>>();
@@ -87,6 +89,7 @@
 	return countMatching(countFinalTags(history).values(), times => times > 1);
 }
 
+/** Counts writes that an endpoint applied although every call was refused as not run. */
 function checkFalseNotRun(history: History): number {
 	const writtenTags = new Set(history.events.flatMap(event => event.writtenTags));
 	const writesByTag = new Map<string, CallRecord[]>();
@@ -99,6 +102,7 @@
 	return countMatching(writesByTag, ([tag, calls]) => writtenTags.has(tag) && calls.every(({outcome}) => outcome.kind === 'refused' && outcome.ran === 'no'));
 }
 
+/** Counts commits with writes of several transactions, and acknowledged commits that lack an acknowledged statement. */
 function checkMixedTransactions({events, calls}: History): number {
 	const mixedCommits = countMatching(events, ({committedTags}) => new Set(committedTags.map(tag => tag.split(':', 1)[0])).size > 1);
 	const commits = events.filter(event => event.step === Step.COMMIT);
@@ -121,7 +125,7 @@
 	});
 }
 
-/** Checks every time window: the calls both sent and answered in it must not exceed the burst plus the rate times its length. */
+/** Returns whether the calls both sent and answered in any time window are at most the burst plus the rate times its length. */
 function isWithinRate(calls: readonly CallRecord[], rate: number, burst: number): boolean {
 	const startTimes = calls.map(call => call.sentAt).toSorted((a, b) => a - b);
 	const callsByEnd = calls.toSorted((a, b) => a.endedAt - b.endedAt);
@@ -138,6 +142,7 @@
 	});
 }
 
+/** Counts observations of a lower version than before in the same process, or of a ready VM without a version whose deadline has passed. */
 function checkConfigReverted({observedVersions, acceptedVersions}: History): number {
 	const highestVersions = new Map<number, number>();
 	return countMatching(observedVersions, ({at, pid, version, isReady}) => {
--- a/packages/testkit/src/history/history.ts
+++ b/packages/testkit/src/history/history.ts
@@ -36,10 +36,10 @@
 /** Time at which an instance became the primary of a term. */
 export type PromotionRecord = {readonly at: number; readonly group: string; readonly term: number};
 
-/** Rate limit of an account, in calls per second and calls. */
+/** Rate of an account, in calls per second, and its burst, in calls. */
 export type AccountLimits = {readonly account: string; readonly rate: number; readonly burst: number};
 
-/** Records of a run, from the callers and from the fakes. */
+/** Records of a run, from the callers and from the fakes. Times are in milliseconds on the monotonic clock. */
 export type History = {
 	readonly calls: CallRecord[];
 	readonly events: EndpointEvent[];
--- a/packages/testkit/src/load/caller-client.ts
+++ b/packages/testkit/src/load/caller-client.ts
@@ -19,6 +19,7 @@
 
 /** Options of one call. */
 export type CallOptions = {
+	/** Key of the account; empty to send none. */
 	readonly key: string;
 	readonly idempotencyKey?: string;
 	readonly timeoutMs: number;
--- a/packages/testkit/src/load/load-generator.ts
+++ b/packages/testkit/src/load/load-generator.ts
@@ -21,10 +21,11 @@
 	writes: number;
 };
 
+/** Action of a session: `browse` is a read that accepts stale data, `file` a write, `intrude` a read that must be refused. */
 type ActionName = 'read' | 'browse' | 'file' | 'transaction' | 'intrude';
 
 const callTimeoutMs = 5000;
-/** Number of write numbers after which a session moves on to another row, which bounds the value of a row. */
+/** Write numbers that a session uses per row, one of them for the change of row; this bounds the length of a value. */
 const writeNumbersPerRow = 12;
 const actionWeights: ReadonlyArray<readonly [ActionName, number]> = [['read', 0.72], ['browse', 0.06], ['file', 0.17], ['transaction', 0.04], ['intrude', 0.01]];
 /** Calls per action that count against the account's rate. */
--- a/packages/testkit/src/measure/deployments.ts
+++ b/packages/testkit/src/measure/deployments.ts
@@ -7,6 +7,7 @@
 /** Sizes of a deployment; rates are in calls per second. */
 export type DeploymentProfile = {
 	readonly deployment: FakeDeploymentOptions;
+	/** One-way network latency between VMs, in milliseconds. */
 	readonly peerLatencyMs: number;
 	readonly largeAccountRate: number;
 	readonly smallAccountRate: number;
@@ -36,7 +37,10 @@
 const largeAccountCount = 3;
 const accountCount = 8;
 
-/** Creates the accounts of a deployment, large ones first. */
+/**
+ * Creates the accounts of a deployment, large ones first.
+ * @param offeredLoad - Offered calls, as a multiple of each account's rate.
+ */
 export function createAccounts(profile: DeploymentProfile, offeredLoad: number): AccountLoad[] {
 	return Array.from({length: accountCount}, (_, index) => {
 		const rate = index < largeAccountCount ? profile.largeAccountRate : profile.smallAccountRate;
--- a/packages/testkit/src/measure/run-measurement.ts
+++ b/packages/testkit/src/measure/run-measurement.ts
@@ -17,6 +17,7 @@
 export type MeasurementOptions = {
 	readonly deployment: DeploymentName;
 	readonly scenario: ScenarioName;
+	/** Duration of the load, in seconds. */
 	readonly seconds: number;
 	readonly seed: number;
 	readonly policy: PolicyName;
@@ -50,7 +51,7 @@
 /** Names of all policies. */
 export const policyNames = Object.keys(policySettings) as PolicyName[];
 
-const versionPollMs = 500;
+const versionPollIntervalMs = 500;
 /** Time between the end of the load and the recording of the final logs, in milliseconds. */
 const postLoadSettleMs = 1500;
 /** Time before the load in which the rate shares of the VMs converge, in milliseconds. */
@@ -141,7 +142,7 @@
 			const {pid, isReady} = vm;
 			void (async () => {
 				try {
-					const status = await cluster.getOperatorClient(vm).getInForce({version: 0n}, {timeoutMs: versionPollMs});
+					const status = await cluster.getOperatorClient(vm).getInForce({version: 0n}, {timeoutMs: versionPollIntervalMs});
 					history.observedVersions.push({
 						at: performance.now(), vm: vm.name, pid, version: Number(status.ownVersion), isReady,
 					});
@@ -150,7 +151,7 @@
 				}
 			})();
 		}
-	}, versionPollMs);
+	}, versionPollIntervalMs);
 	return () => {
 		clearInterval(timer);
 	};
--- a/packages/testkit/src/measure/scenarios.ts
+++ b/packages/testkit/src/measure/scenarios.ts
@@ -17,6 +17,7 @@
 	readonly history: History;
 	readonly load: LoadGenerator;
 	readonly random: SeededRandom;
+	/** Duration of the load, in milliseconds. */
 	readonly durationMs: number;
 };
 
@@ -40,11 +41,12 @@
 	return cluster.deployment.servers.find(server => server.instance === primary)!;
 }
 
+/** Chooses a ready VM at random, or any VM if none is ready. */
 function chooseVm({cluster, random}: ScenarioContext): VmProcess {
 	return random.chooseItem(cluster.getReadyVms().length === 0 ? cluster.vms : cluster.getReadyVms());
 }
 
-/** Applies configuration rows through one VM, retries until they are accepted, and records the accepted version. */
+/** Applies configuration rows through one VM, retries until they are accepted, and records and returns the accepted version. */
 export async function applyConfigurationRows(context: ScenarioContext, rows: readonly StoredRow[], vm = chooseVm(context)): Promise<number> {
 	const operator = context.cluster.getOperatorClient(vm);
 	const writeId = randomUUID();
@@ -202,6 +204,7 @@
 	}
 }
 
+/** Faults of which the scenario `double` runs two at once. */
 const combinableFaults: ReadonlyArray<(context: ScenarioContext) => Promise<void>> = [killPrimary, hangPrimary, isolatePrimary, killVm, pauseVm, isolateVm, withdrawKeys, stopStoreTemporarily, raceConfigurationChanges];
 
 async function stopStoreTemporarily(context: ScenarioContext): Promise<void> {
--- a/packages/testkit/src/tests/examples/embed.test.ts
+++ b/packages/testkit/src/tests/examples/embed.test.ts
@@ -7,6 +7,6 @@
 test('the example that embeds the rate limits admits at least 90 calls and no more than the rate allows', async t => {
 	const example = fileURLToPath(new URL('../../../../../examples/embed/limits.js', import.meta.url));
 	const {stdout} = await promisify(execFile)(process.execPath, [example]);
-	const [admitted, most] = stdout.match(/\d+/gv)!.map(Number);
-	t.true(admitted! <= most! && admitted! >= 90, stdout);
+	const [admitted, maxAdmitted] = stdout.match(/\d+/gv)!.map(Number);
+	t.true(admitted! <= maxAdmitted! && admitted! >= 90, stdout);
 });
--- a/packages/testkit/src/tests/faults/writes.test.ts
+++ b/packages/testkit/src/tests/faults/writes.test.ts
@@ -30,8 +30,8 @@
 	const primary = group!.getPrimary();
 	primary.isIsolated = true;
 	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const cut = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one', 500)));
-	t.deepEqual([cut.kind, cut.ran], ['deadline-unknown', 'unknown']);
+	const refusedInIsolation = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one', 500)));
+	t.deepEqual([refusedInIsolation.kind, refusedInIsolation.ran], ['deadline-unknown', 'unknown']);
 	t.is(primary.log.length, 1);
 
 	await waitFor(() => group!.getPrimary() !== primary);
--- a/packages/testkit/src/tests/golden/golden-sessions.test.ts
+++ b/packages/testkit/src/tests/golden/golden-sessions.test.ts
@@ -93,13 +93,13 @@
 };
 
 async function readGoldenFile(name: string, text: string): Promise<string> {
-	const createWriteStep = new URL(`${name}.txt`, goldenFolder);
+	const fileUrl = new URL(`${name}.txt`, goldenFolder);
 	if (process.env.UPDATE_GOLDEN === '1') {
 		await mkdir(goldenFolder, {recursive: true});
-		await writeFile(createWriteStep, text);
+		await writeFile(fileUrl, text);
 	}
 
-	return readFile(createWriteStep, 'utf8');
+	return readFile(fileUrl, 'utf8');
 }
 
 for (const [name, steps] of Object.entries(sessions)) {
--- a/packages/testkit/src/tests/local-proxies.ts
+++ b/packages/testkit/src/tests/local-proxies.ts
@@ -7,6 +7,7 @@
 
 /** Options of proxies in the test process. */
 export type LocalProxiesOptions = {
+	/** Number of proxies. */
 	readonly vms: number;
 	readonly accounts?: readonly InitialAccount[];
 	readonly recordsRequestIds?: boolean;
@@ -27,7 +28,7 @@
 export const testKey = 'csk_test-key';
 const operatorToken = 'operator-token';
 
-/** Waits until a condition is met; throws after the timeout. */
+/** Waits until a condition is met; throws after a timeout, in milliseconds. */
 export async function waitFor(isMet: () => boolean | Promise<boolean>, timeoutMs = 20_000): Promise<void> {
 	const deadline = performance.now() + timeoutMs;
 	while (!await isMet()) {
