--- a/packages/cli/src/explain/log-line.ts
+++ b/packages/cli/src/explain/log-line.ts
@@ -2,6 +2,7 @@
 export type LogLine = {
 	/** Unix time in milliseconds, by the clock of the VM. */
 	readonly time: number;
+	/** Name of the VM; empty when the line does not name it. */
 	readonly vm: string;
 	readonly event: string;
 	readonly fields: Readonly<Record<string, unknown>>;
--- a/packages/cli/src/sheet/parse-sheet.ts
+++ b/packages/cli/src/sheet/parse-sheet.ts
@@ -8,6 +8,7 @@
 
 type CsvRecord = {readonly record: string[]; readonly info: {readonly lines: number}};
 
+/** Position of each column in the sheet, counted from one. */
 type Header = ReadonlyMap<SheetColumn, number>;
 
 /**
--- a/packages/cli/src/sheet/sheet-row.ts
+++ b/packages/cli/src/sheet/sheet-row.ts
@@ -11,12 +11,12 @@
 	readonly columns: ReadonlyMap<SheetColumn, number>;
 };
 
-/** Returns a cell, empty when the column is absent. */
+/** Returns a cell; empty when the sheet does not have the column. */
 export function getCell(row: SheetRow, column: SheetColumn): string {
 	return row.cells[column] ?? '';
 }
 
-/** Returns the position of a column in the sheet, zero when it is absent. */
+/** Returns the position of a column in the sheet, counted from one; zero when the sheet does not have it. */
 export function getColumnNumber(row: SheetRow, column: SheetColumn): number {
 	return row.columns.get(column) ?? 0;
 }
--- a/packages/testkit/src/fakes/fake-group.ts
+++ b/packages/testkit/src/fakes/fake-group.ts
@@ -2,7 +2,7 @@
 
 const replicationIntervalMs = 3;
 
-/** Group of fake instances with asynchronous replication from the primary. */
+/** Group of fake instances with asynchronous replication from the primary, which is the first instance at the start. */
 export class FakeGroup {
 	#timer: NodeJS.Timeout | undefined;
 
--- a/packages/testkit/src/history/history.ts
+++ b/packages/testkit/src/history/history.ts
@@ -16,6 +16,7 @@
 	readonly wasDraining: boolean;
 	readonly account: string;
 	readonly key: string;
+	/** Id of the caller's session. */
 	readonly session: number;
 	readonly group: string;
 	readonly action: 'read' | 'write' | 'begin' | 'statement' | 'commit';
--- a/packages/testkit/src/history/run-statistics.ts
+++ b/packages/testkit/src/history/run-statistics.ts
@@ -3,16 +3,19 @@
 
 /** Statistics of a run, computed from its history; they are part of the JSON output. */
 export type RunStatistics = {
+	/** Number of calls, without those that must be refused. */
 	readonly requests: number;
+	/** Number of these calls that were refused. */
 	readonly refused: number;
 	/** Fraction of the answered reads that a replica served. */
 	readonly replicaReadShare: number;
-	/** Longest time between two consecutive acknowledged writes around a failure of a group's primary; zero without failures. */
+	/** Longest time between two consecutive acknowledged writes around a failure of a group's primary, in milliseconds; zero without failures. */
 	readonly failoverGapMs: number;
 	/** Lowest fraction, over all accounts, of the admissible calls that were served. */
 	readonly worstServedAccountShare: number;
 	/** Fraction of the admissible calls of all accounts that were not served. */
 	readonly refusedInsideRate: number;
+	/** Latency of the answered calls, in milliseconds. */
 	readonly latencyMs: {readonly p50: number; readonly p99: number; readonly max: number};
 };
 
--- a/packages/testkit/src/tests/cli/command-line.test.ts
+++ b/packages/testkit/src/tests/cli/command-line.test.ts
@@ -42,8 +42,8 @@
 	t.is(applied.code, 0, applied.err);
 	const {result, version, vms} = JSON.parse(applied.out) as {result: string; version: number; vms: string[]};
 	t.deepEqual([result, vms.length], ['in-force', 2]);
-	const again = JSON.parse((await run('sheet', 'apply', validSheet, '--json')).out) as {result: string; version: number};
-	t.deepEqual(again, {changes: 0, result: 'unchanged', version} as never);
+	const repeated = JSON.parse((await run('sheet', 'apply', validSheet, '--json')).out) as {result: string; version: number};
+	t.deepEqual(repeated, {changes: 0, result: 'unchanged', version} as never);
 	const shown = await run('config', 'show');
 	t.false(shown.out.includes('other'));
 	t.false(shown.out.includes('csk_new-key'));
--- a/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
+++ b/packages/testkit/src/tests/endpoints/endpoint-connection.test.ts
@@ -8,8 +8,8 @@
 	requestId: 'r', statement: 'put', parameters: {key: 'k', value: 'v'}, write: true, term: 1n,
 });
 
-async function getResultStage(answer: ReturnType<HttpEndpointConnection['execute']>): Promise<string> {
-	const result = await answer;
+async function getResultStage(execution: ReturnType<HttpEndpointConnection['execute']>): Promise<string> {
+	const result = await execution;
 	return result.caseOf({Left: ({stage}): string => stage, Right: () => 'answered'});
 }
 
--- a/packages/testkit/src/tests/faults/transactions.test.ts
+++ b/packages/testkit/src/tests/faults/transactions.test.ts
@@ -25,16 +25,16 @@
 test('a transaction is served through any proxy, seen by nobody before its commit, and read back after it', async t => {
 	const local = await startLocalProxies({vms: 2});
 	t.teardown(local.stop);
-	const [near, far] = [local.createCallerClient(0), local.createCallerClient(1)];
-	const {transaction} = await retryUntilServed(async () => near.begin({group: 'orders'}));
-	await far.runInTransaction(createWrite(transaction, 'one'));
-	await near.runInTransaction(createWrite(transaction, 'two'));
-	const before = await far.run({route: 'orders.get', parameters: {key: 'k'}});
+	const [firstClient, secondClient] = [local.createCallerClient(0), local.createCallerClient(1)];
+	const {transaction} = await retryUntilServed(async () => firstClient.begin({group: 'orders'}));
+	await secondClient.runInTransaction(createWrite(transaction, 'one'));
+	await firstClient.runInTransaction(createWrite(transaction, 'two'));
+	const before = await secondClient.run({route: 'orders.get', parameters: {key: 'k'}});
 	t.is(before.rows[0]?.columns.value, '');
-	const {session} = await far.commit({transaction});
-	const after = await near.run({route: 'orders.get', parameters: {key: 'k'}, session});
+	const {session} = await secondClient.commit({transaction});
+	const after = await firstClient.run({route: 'orders.get', parameters: {key: 'k'}, session});
 	t.is(after.rows[0]?.columns.value, 'one,two');
-	t.is(await getRefusalKind(near.commit({transaction})), 'transaction-not-found');
+	t.is(await getRefusalKind(firstClient.commit({transaction})), 'transaction-not-found');
 });
 
 test('a transaction refuses other accounts, and a rollback leaves no writes', async t => {
--- a/packages/testkit/src/tests/faults/writes.test.ts
+++ b/packages/testkit/src/tests/faults/writes.test.ts
@@ -29,14 +29,14 @@
 	await retryUntilServed(async () => local.createCallerClient(0).run({route: 'orders.get', parameters: {key: 'k'}}));
 	const primary = group!.getPrimary();
 	primary.isIsolated = true;
-	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const refusedInIsolation = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one', 500)));
+	const writeRequest = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
+	const refusedInIsolation = await getRefusal(local.createCallerClient(0).run(writeRequest, createCallOptions('one', 500)));
 	t.deepEqual([refusedInIsolation.kind, refusedInIsolation.ran], ['deadline-unknown', 'unknown']);
 	t.is(primary.log.length, 1);
 
 	await waitFor(() => group!.getPrimary() !== primary);
-	const answer = await local.createCallerClient(0).run(file, createCallOptions('one'));
-	t.is(answer.servedBy, 'primary');
+	const response = await local.createCallerClient(0).run(writeRequest, createCallOptions('one'));
+	t.is(response.servedBy, 'primary');
 	t.is(group!.getPrimary().getValue('k'), 'v');
 	primary.isIsolated = false;
 	await waitFor(() => !primary.isPrimary && primary.position.term === group!.getPrimary().term);
@@ -48,14 +48,14 @@
 	t.teardown(local.stop);
 	const server = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
 	server.isNextResponseLost = true;
-	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const first = await local.createCallerClient(0).run(file, createCallOptions('one'));
+	const writeRequest = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
+	const first = await local.createCallerClient(0).run(writeRequest, createCallOptions('one'));
 	t.true(first.replayed, 'the proxy retried and received the recorded response');
-	const again = await local.createCallerClient(1).run(file, createCallOptions('one'));
-	t.true(again.replayed);
+	const repeated = await local.createCallerClient(1).run(writeRequest, createCallOptions('one'));
+	t.true(repeated.replayed);
 	t.is(server.instance.getValue('k'), 'v');
-	const other = await getRefusal(local.createCallerClient(1).run({...file, parameters: {key: 'k', value: 'w', tag: 'w'}}, createCallOptions('one')));
-	t.deepEqual([other.kind, other.ran], ['request-mismatch', 'no']);
+	const mismatch = await getRefusal(local.createCallerClient(1).run({...writeRequest, parameters: {key: 'k', value: 'w', tag: 'w'}}, createCallOptions('one')));
+	t.deepEqual([mismatch.kind, mismatch.ran], ['request-mismatch', 'no']);
 });
 
 test('in a group that does not record requests, a lost response is refused as unknown, and the claim prevents a second run', async t => {
@@ -63,14 +63,14 @@
 	t.teardown(local.stop);
 	const server = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
 	server.isNextResponseLost = true;
-	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
-	const lost = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('one')));
-	t.deepEqual([lost.kind, lost.ran], ['outcome-unknown', 'unknown']);
-	t.not(lost.session, '', 'the refusal carries a session token that directs reads of the group to its primary');
-	const again = await getRefusal(local.createCallerClient(1).run(file, createCallOptions('one')));
-	t.deepEqual([again.kind, again.ran], ['outcome-unknown', 'unknown']);
+	const writeRequest = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
+	const firstRefusal = await getRefusal(local.createCallerClient(0).run(writeRequest, createCallOptions('one')));
+	t.deepEqual([firstRefusal.kind, firstRefusal.ran], ['outcome-unknown', 'unknown']);
+	t.not(firstRefusal.session, '', 'the refusal carries a session token that directs reads of the group to its primary');
+	const repeatedRefusal = await getRefusal(local.createCallerClient(1).run(writeRequest, createCallOptions('one')));
+	t.deepEqual([repeatedRefusal.kind, repeatedRefusal.ran], ['outcome-unknown', 'unknown']);
 	t.is(server.instance.getValue('k'), 'v');
-	const read = await local.createCallerClient(1).run({route: 'orders.get', parameters: {key: 'k'}, session: lost.session});
+	const read = await local.createCallerClient(1).run({route: 'orders.get', parameters: {key: 'k'}, session: firstRefusal.session});
 	t.deepEqual([read.servedBy, read.rows[0]?.columns.value], ['primary', 'v']);
 });
 
@@ -78,12 +78,12 @@
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
 	const [first, second] = local.deployment.servers.filter(({instance}) => !instance.isPrimary);
-	const file = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
+	const writeRequest = {route: 'orders.file', parameters: {key: 'k', value: 'v', tag: 'v'}};
 	first!.stop();
-	await local.createCallerClient(0).run(file, createCallOptions('one'));
+	await local.createCallerClient(0).run(writeRequest, createCallOptions('one'));
 	second!.stop();
-	await waitFor(async () => (await getRefusal(local.createCallerClient(0).run(file, createCallOptions('two', 300)))).ran === 'no');
-	const refused = await getRefusal(local.createCallerClient(0).run(file, createCallOptions('three', 300)));
+	await waitFor(async () => (await getRefusal(local.createCallerClient(0).run(writeRequest, createCallOptions('two', 300)))).ran === 'no');
+	const refused = await getRefusal(local.createCallerClient(0).run(writeRequest, createCallOptions('three', 300)));
 	t.deepEqual([refused.kind, refused.ran], ['no-primary', 'no']);
 	const primary = local.deployment.groups[0]!.getPrimary();
 	t.false(primary.log.some(entry => entry.operations.some(({value}) => value === 'three')));
--- a/packages/testkit/src/tests/golden/golden-sessions.test.ts
+++ b/packages/testkit/src/tests/golden/golden-sessions.test.ts
@@ -44,14 +44,14 @@
 		const response = await fetch(`http://127.0.0.1:${local.proxies[proxy]!.callerPort}/${serviceName}/${method}`, {
 			method: 'POST', headers: {'content-type': 'application/json', authorization: `Bearer ${testKey}`, ...headers}, body: JSON.stringify(requestBody),
 		});
-		const answer = await response.json() as {session?: string; transaction?: string; code?: string; message?: string};
-		transcript.addPlaceholder(answer.session, 'session');
-		transcript.addPlaceholder(answer.transaction, 'transaction');
-		session = answer.session ?? session;
-		transaction = answer.transaction ?? transaction;
+		const responseBody = await response.json() as {session?: string; transaction?: string; code?: string; message?: string};
+		transcript.addPlaceholder(responseBody.session, 'session');
+		transcript.addPlaceholder(responseBody.transaction, 'transaction');
+		session = responseBody.session ?? session;
+		transaction = responseBody.transaction ?? transaction;
 		transcript.addLine('>', `proxy ${proxy + 1} ${method} ${JSON.stringify(requestBody)}`);
-		const refusal = `${answer.code}: ${answer.message} (${response.headers.get('chicorysaddle-refusal')}, ran ${response.headers.get('chicorysaddle-ran')}, retry after ${response.headers.get('retry-after')} s)`;
-		transcript.addLine('<', `${response.status} ${response.ok ? JSON.stringify(answer) : refusal}`);
+		const refusal = `${responseBody.code}: ${responseBody.message} (${response.headers.get('chicorysaddle-refusal')}, ran ${response.headers.get('chicorysaddle-ran')}, retry after ${response.headers.get('retry-after')} s)`;
+		transcript.addLine('<', `${response.status} ${response.ok ? JSON.stringify(responseBody) : refusal}`);
 	}
 
 	return transcript.format();
@@ -114,15 +114,15 @@
 test('a lost response and a failover match their golden file', async t => {
 	const local = await startLocalProxies({vms: 1});
 	t.teardown(local.stop);
-	const file = (value: string): SessionStep => ({
+	const createWriteStep = (value: string): SessionStep => ({
 		proxy: 0, method: 'Run', body: {route: 'orders.file', parameters: {key: 'k', value}, session: ''}, headers: {'idempotency-key': value},
 	});
 	const primary = local.deployment.servers.find(({instance}) => instance.isPrimary)!;
-	const before = await runSession(local, [file('one')]);
+	const firstTranscript = await runSession(local, [createWriteStep('one')]);
 	primary.isNextResponseLost = true;
-	const lost = await runSession(local, [file('two'), file('two')]);
+	const lostResponseTranscript = await runSession(local, [createWriteStep('two'), createWriteStep('two')]);
 	primary.stop();
-	const after = await runSession(local, [file('two'), file('three'), {proxy: 0, method: 'Run', body: {route: 'orders.get', parameters: {key: 'k'}, session: ''}}]);
-	const text = `${before}-- the next answer is lost\n${lost}-- the primary dies\n${after}`;
+	const failoverTranscript = await runSession(local, [createWriteStep('two'), createWriteStep('three'), {proxy: 0, method: 'Run', body: {route: 'orders.get', parameters: {key: 'k'}, session: ''}}]);
+	const text = `${firstTranscript}-- the next answer is lost\n${lostResponseTranscript}-- the primary dies\n${failoverTranscript}`;
 	t.is(text, await readGoldenFile('failover', text));
 });
--- a/packages/testkit/src/tests/local-proxies.ts
+++ b/packages/testkit/src/tests/local-proxies.ts
@@ -9,8 +9,11 @@
 export type LocalProxiesOptions = {
 	/** Number of proxies. */
 	readonly vms: number;
+	/** Accounts of the first configuration; by default one with `testKey`. */
 	readonly accounts?: readonly InitialAccount[];
+	/** Whether the groups record request ids; true by default. */
 	readonly recordsRequestIds?: boolean;
+	/** Timeouts of the daemon settings, in milliseconds. */
 	readonly timeouts?: Readonly<Record<string, number>>;
 };
 
@@ -43,7 +46,7 @@
 }
 
 /** Sends a request and, as callers have to, retries it after a `no-primary` refusal that says that nothing ran. */
-export async function retryUntilServed<Answer>(send: () => Promise<Answer>, timeoutMs = 20_000): Promise<Answer> {
+export async function retryUntilServed<Result>(send: () => Promise<Result>, timeoutMs = 20_000): Promise<Result> {
 	const deadline = performance.now() + timeoutMs;
 	for (;;) {
 		try {
--- a/packages/testkit/src/tests/server/hostile-callers.test.ts
+++ b/packages/testkit/src/tests/server/hostile-callers.test.ts
@@ -37,10 +37,10 @@
 	t.is((await sendRequest(local, JSON.stringify({route: 'orders.get', parameters: {key: 'x'.repeat(2_000_000)}}))).status, 429);
 	t.is((await sendRequest(local, validBody, {'connect-timeout-ms': 'soon'})).status, 400);
 	t.is((await sendRequest(local, validBody, {'idempotency-key': 'k'.repeat(201)})).status, 400);
-	const answer = JSON.parse((await sendRequest(local, validBody)).text) as {session: string};
+	const responseBody = JSON.parse((await sendRequest(local, validBody)).text) as {session: string};
 	// Replaces the first character by a different one.
-	const forgedToken = `${answer.session.startsWith('A') ? 'B' : 'A'}${answer.session.slice(1)}`;
-	for (const session of [answer.session.slice(0, -3), forgedToken, 'x', 'x'.repeat(9000)]) {
+	const forgedToken = `${responseBody.session.startsWith('A') ? 'B' : 'A'}${responseBody.session.slice(1)}`;
+	for (const session of [responseBody.session.slice(0, -3), forgedToken, 'x', 'x'.repeat(9000)]) {
 		const refused = await sendRequest(local, JSON.stringify({route: 'orders.get', parameters: {key: 'k'}, session}));
 		t.is(refused.status, 400, session);
 	}
