--- a/packages/testkit/src/cluster/cluster.ts
+++ b/packages/testkit/src/cluster/cluster.ts
@@ -152,6 +152,7 @@
 		return client;
 	}
 
+	/** Kills the daemons, and stops the links and the fake deployment. */
 	async stop(): Promise<void> {
 		clearInterval(this.#readinessTimer);
 		for (const vm of this.vms) {
--- a/packages/testkit/src/cluster/link.ts
+++ b/packages/testkit/src/cluster/link.ts
@@ -21,6 +21,7 @@
 		});
 	}
 
+	/** Address that the relay listens on, as host:port. */
 	get address(): string {
 		return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
 	}
--- a/packages/testkit/src/cluster/vm-process.ts
+++ b/packages/testkit/src/cluster/vm-process.ts
@@ -76,17 +76,20 @@
 		return Number(/VmRSS:\s+(?<kb>\d+)/v.exec(status)?.groups?.kb ?? 0) / 1024;
 	}
 
+	/** Kills the daemon with SIGKILL. */
 	kill(): void {
 		this.state = 'gone';
 		this.isReady = false;
 		this.#child?.kill('SIGKILL');
 	}
 
+	/** Pauses the daemon with SIGSTOP. */
 	pause(): void {
 		this.state = 'paused';
 		this.#child?.kill('SIGSTOP');
 	}
 
+	/** Resumes the daemon with SIGCONT. */
 	resume(): void {
 		this.state = 'up';
 		this.#child?.kill('SIGCONT');
--- a/packages/testkit/src/fakes/fake-endpoint-server.ts
+++ b/packages/testkit/src/fakes/fake-endpoint-server.ts
@@ -74,6 +74,7 @@
 	/** @param getRandom - Returns a uniformly distributed number, at least 0 and below 1. */
 	constructor(readonly instance: FakeInstance, private readonly timing: EndpointTiming, private readonly getRandom: () => number) {}
 
+	/** Address of the server as host:port. */
 	get address(): string {
 		return `127.0.0.1:${this.#port}`;
 	}
@@ -92,6 +93,7 @@
 		return bytes;
 	}
 
+	/** Starts the server; a restart uses the same port. */
 	async start(): Promise<void> {
 		const server = createServer({keepAliveTimeout: 0, requestTimeout: 0}, (request, response) => {
 			void this.#handleRequest(request, response);
--- a/packages/testkit/src/fakes/fake-group.ts
+++ b/packages/testkit/src/fakes/fake-group.ts
@@ -10,6 +10,7 @@
 		instances[0]!.isPrimary = true;
 	}
 
+	/** Starts replication. */
 	start(): void {
 		this.#timer = setInterval(() => {
 			this.replicate(performance.now());
--- a/packages/testkit/src/fakes/fake-instance.ts
+++ b/packages/testkit/src/fakes/fake-instance.ts
@@ -41,6 +41,7 @@
 
 	constructor(readonly name: string, readonly zone: string, readonly slots: number, readonly connections: number) {}
 
+	/** Position of the last log entry. */
 	get position(): LogPosition {
 		return this.log.at(-1)?.position ?? logStart;
 	}
@@ -64,6 +65,7 @@
 		return entry;
 	}
 
+	/** Appends an entry to the log and applies its writes. */
 	applyEntry(entry: LogEntry): void {
 		this.log.push(entry);
 		if (entry.recordId !== '') {
