--- a/packages/testkit/src/cluster/vm-process.ts
+++ b/packages/testkit/src/cluster/vm-process.ts
@@ -24,12 +24,15 @@
 export class VmProcess {
 	state: VmState = 'starting';
 	ports: VmPorts = {caller: 0, peer: 0, operator: 0};
+	/** Whether the daemon reported readiness at the last poll. */
 	isReady = false;
+	/** Lines that the daemon has written to standard output. */
 	readonly logs: string[] = [];
 	#child: ChildProcess | undefined;
 
 	constructor(readonly name: string, readonly zone: string, readonly address: string) {}
 
+	/** Process id of the daemon; zero before its first start. */
 	get pid(): number {
 		return this.#child?.pid ?? 0;
 	}
@@ -73,17 +76,20 @@
 		return Number(/VmRSS:\s+(?<kb>\d+)/v.exec(status)?.groups?.kb ?? 0) / 1024;
 	}
 
+	/** Kills the daemon with SIGKILL. */
 	kill(): void {
 		this.state = 'gone';
 		this.isReady = false;
 		this.#child?.kill('SIGKILL');
 	}
 
+	/** Pauses the daemon with SIGSTOP. */
 	pause(): void {
 		this.state = 'paused';
 		this.#child?.kill('SIGSTOP');
 	}
 
+	/** Resumes the daemon with SIGCONT. */
 	resume(): void {
 		this.state = 'up';
 		this.#child?.kill('SIGCONT');
