--- a/packages/testkit/src/fakes/fake-deployment.ts
+++ b/packages/testkit/src/fakes/fake-deployment.ts
@@ -1,5 +1,5 @@
-import {FakeGroup} from '../fakes/fake-group.js';
-import {FakeInstance} from '../fakes/fake-instance.js';
+import {FakeGroup} from './fake-group.js';
+import {FakeInstance} from './fake-instance.js';
 import {FakeEndpointServer, type EndpointTiming} from './fake-endpoint-server.js';
 import {FakePlatform} from './fake-platform.js';
 import {SeededRandom} from './seeded-random.js';
--- a/packages/testkit/src/fakes/fake-group.ts
+++ b/packages/testkit/src/fakes/fake-group.ts
@@ -1,4 +1,4 @@
-import {type FakeInstance} from '../fakes/fake-instance.js';
+import {type FakeInstance} from './fake-instance.js';
 
 const replicationIntervalMs = 3;
 
